--- a/crates/core/src/cell/owner.rs
+++ b/crates/core/src/cell/owner.rs
@@ -12,7 +12,7 @@
 use crate::config::Document;
 use crate::id::{AgentId, Epoch, JobId, TeamId};
 use crate::resources::Resources;
-use crate::time::{lease_wait, Time, CLOCK_RATE_MARGIN_PERCENT};
+use crate::time::{lease_wait, Time, MAX_CLOCK_DRIFT_PERCENT};
 
 /// Number that the caller of a core gives to a request whose reply waits for a commit.
 pub type Ticket = u64;
@@ -209,7 +209,7 @@
             true => wait,
             false => {
                 let hold = self.settings.outage_hold;
-                wait + hold + hold * CLOCK_RATE_MARGIN_PERCENT / 100
+                wait + hold + hold * MAX_CLOCK_DRIFT_PERCENT / 100
             }
         }
     }
--- a/crates/core/src/cell/state.rs
+++ b/crates/core/src/cell/state.rs
@@ -48,7 +48,7 @@
         for number in [self.tasks.into(), need.cpu_milli, need.memory_mib, need.accelerators] {
             text.extend_from_slice(&u64::to_le_bytes(number));
         }
-        hash::stable(&text)
+        hash::hash64(&text)
     }
 }
 
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration document.
+//! The configuration document, which operators change with JSON merge patches.
 
 pub mod patch;
 pub mod state;
@@ -16,11 +16,11 @@
 use crate::id::{CellId, DataCentreId, ServiceId, TeamId};
 use crate::resources::Resources;
 
-/// Everything that operators decide. Changed by merge patches only.
+/// The whole configuration of the system.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Document {
-    /// Sizes of the VMs in use. Each limit has to fit one of them.
+    /// Sizes of the VMs in use. Each resource limit must fit at least one of them.
     pub vm_sizes: BTreeMap<String, Resources>,
     pub cells: BTreeMap<CellId, Cell>,
     pub teams: BTreeMap<TeamId, Team>,
@@ -29,20 +29,20 @@
     pub closings: BTreeMap<String, Closing>,
 }
 
-/// A set of workers that are scheduled together.
+/// A set of workers in one data centre that are scheduled together.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Cell {
     pub data_centre: DataCentreId,
 }
 
-/// A team of callers and submitters.
+/// A team that calls services and submits batch jobs.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Team {
     /// SHA-256 digest of the team's bearer token, in lower-case hex.
     pub token_sha256: String,
-    /// Most that the team's batch tasks may hold in each cell at once.
+    /// Maximum that the team's batch tasks may hold in each cell at once.
     pub quota: Resources,
 }
 
@@ -50,24 +50,24 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Teams whose callers may use the service. Empty: callers need no credential.
+    /// Teams whose callers may use the service. If empty, callers need no token.
     #[serde(default)]
     pub teams: Vec<TeamId>,
-    /// Part of a VM that is reserved for an upstream of this service.
+    /// Resources of a VM that are reserved for an upstream (an instance) of this service.
     pub limit: Resources,
-    /// Requests that an upstream runs at once.
+    /// Maximum number of requests that an upstream runs at once.
     #[serde(default = "default_slots")]
     pub slots: u32,
-    /// Connections that an agent opens to its upstream.
+    /// Maximum number of connections that an agent opens to its upstream.
     #[serde(default = "default_connections")]
     pub connections: u32,
-    /// Requests that wait at an agent for a slot.
+    /// Maximum number of requests that wait at an agent for a slot.
     #[serde(default = "default_queue")]
     pub queue: u32,
-    /// Deadline of requests that name none, in milliseconds.
+    /// Time limit of requests that specify no deadline, in milliseconds.
     #[serde(default = "default_timeout_ms")]
     pub timeout_ms: u64,
-    /// Latency that colocation has to protect, in milliseconds.
+    /// Target latency, in milliseconds. Batch work on the same VM is throttled to keep it.
     #[serde(default = "default_target_ms")]
     pub target_ms: u64,
 }
@@ -93,12 +93,12 @@
 }
 
 impl Service {
-    /// Deadline of requests that name none.
+    /// Returns the time limit of requests that specify no deadline.
     pub fn timeout(&self) -> Duration {
         Duration::from_millis(self.timeout_ms)
     }
 
-    /// Latency that colocation has to protect.
+    /// Returns the target latency.
     pub fn target(&self) -> Duration {
         Duration::from_millis(self.target_ms)
     }
@@ -108,29 +108,31 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct JobClass {
-    /// Most that tasks of this class may take from one VM.
+    /// Maximum that tasks of this class may take from one VM.
     pub limit: Resources,
-    /// Jobs of this class start before others.
+    /// Whether jobs of this class start before others.
     #[serde(default)]
     pub urgent: bool,
 }
 
-/// A closing period.
+/// A closing: a planned period, such as the close of a financial year, in which some services
+/// expect high load and batch work on their VMs is limited.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Closing {
-    /// Start, as RFC 3339 in UTC.
+    /// Start of the closing, as RFC 3339 in UTC.
     pub start: String,
-    /// End, as RFC 3339 in UTC; after the start.
+    /// End of the closing, as RFC 3339 in UTC; after the start.
     pub end: String,
-    /// Time before the start at which VMs are prepared, in seconds.
+    /// Time before the start at which agents begin to reduce batch work to `batch_limit`, in
+    /// seconds.
     #[serde(default = "default_lead_s")]
     pub lead_s: u64,
-    /// Services that the closing loads. Closings that share a service must not overlap.
+    /// Services that expect high load. Closings that share a service must not overlap.
     pub services: Vec<ServiceId>,
-    /// Classes of batch jobs that belong to the closing and may use `batch_limit`.
+    /// Classes of batch jobs that belong to the closing and may start within `batch_limit`.
     pub classes: Vec<String>,
-    /// Most that batch tasks may take from a VM of these services during the closing.
+    /// Maximum that batch tasks may take from a VM of these services during the closing.
     pub batch_limit: Resources,
 }
 
@@ -139,11 +141,11 @@
 }
 
 impl Closing {
-    /// Returns the start and the end.
+    /// Parses the start and the end.
     ///
     /// # Errors
     ///
-    /// Names the field whose text is malformed.
+    /// Returns a problem with the name of the malformed field.
     pub fn period(&self) -> Result<(SystemTime, SystemTime), Problem> {
         let parse = |field: &str, text: &str| {
             humantime::parse_rfc3339(text)
--- a/crates/core/src/config/patch.rs
+++ b/crates/core/src/config/patch.rs
@@ -1,4 +1,4 @@
-//! JSON text of documents, and merge patches (RFC 7396).
+//! Encoding of the configuration document as JSON, and JSON merge patches (RFC 7396).
 
 use std::collections::BTreeMap;
 
@@ -8,26 +8,26 @@
 
 use crate::config::{validate, Document, Problem};
 
-/// Largest document, as JSON, in bytes.
-pub const DOCUMENT_LIMIT: usize = 512 * 1024;
-/// Largest patch in bytes.
-pub const PATCH_LIMIT: usize = 64 * 1024;
+/// Maximum size of the document as JSON, in bytes.
+pub const MAX_DOCUMENT_BYTES: usize = 512 * 1024;
+/// Maximum size of a patch, in bytes.
+pub const MAX_PATCH_BYTES: usize = 64 * 1024;
 
-/// Applies an operator's patch, and checks the patch and the resulting document.
+/// Applies a new patch of an operator after validating its size and the resulting document.
 ///
 /// # Errors
 ///
-/// Returns all faults found.
+/// Returns all problems found.
 pub fn apply_patch(document: &Document, patch: &[u8]) -> Result<Document, Vec<Problem>> {
-    if patch.len() > PATCH_LIMIT {
-        let detail = format!("the patch has {} bytes; the limit is {PATCH_LIMIT}", patch.len());
+    if patch.len() > MAX_PATCH_BYTES {
+        let detail = format!("the patch has {} bytes; the limit is {MAX_PATCH_BYTES}", patch.len());
         return Err(vec![Problem::new("", detail)]);
     }
     let patched = merge_patch(document, patch)?;
     let mut problems = validate(&patched);
     let size = encode_document(&patched).len();
-    if size > DOCUMENT_LIMIT {
-        let detail = format!("the document has {size} bytes; the limit is {DOCUMENT_LIMIT}");
+    if size > MAX_DOCUMENT_BYTES {
+        let detail = format!("the document has {size} bytes; the limit is {MAX_DOCUMENT_BYTES}");
         problems.push(Problem::new("", detail));
     }
     match problems.is_empty() {
@@ -36,61 +36,61 @@
     }
 }
 
-/// Applies a patch that was accepted before, so that its content is not checked again.
+/// Applies a patch that was accepted before, without validating the resulting document.
 ///
 /// # Errors
 ///
-/// Fails when the patch or its result does not have the shape of a document.
+/// Fails when the patch is not a JSON object or the result does not match the schema.
 pub fn merge_patch(document: &Document, patch: &[u8]) -> Result<Document, Vec<Problem>> {
     let mut merged = match serde_json::to_value(document) {
         Ok(value) => value,
         Err(error) => return Err(vec![Problem::new("", error)]),
     };
-    merge_value(&mut merged, patch).map_err(|problem| vec![problem])?;
-    document_from(merged)
+    merge_json(&mut merged, patch).map_err(|problem| vec![problem])?;
+    document_from_json(merged)
 }
 
-/// Applies a patch to a document's JSON form.
+/// Applies a patch to a document that is given as JSON value.
 ///
 /// # Errors
 ///
 /// Fails when the patch is not a JSON object.
-pub fn merge_value(document: &mut Value, patch: &[u8]) -> Result<(), Problem> {
+pub fn merge_json(document: &mut Value, patch: &[u8]) -> Result<(), Problem> {
     match serde_json::from_slice(patch) {
         Ok(patch @ Value::Object(_)) => {
             json_patch::merge(document, &patch);
             Ok(())
         }
-        // Any other value would replace the whole document.
+        // RFC 7396 replaces the whole document if the patch is not an object.
         Ok(_) => Err(Problem::new("", "the patch is not a JSON object")),
         Err(error) => Err(Problem::new("", format!("the patch is not JSON: {error}"))),
     }
 }
 
-/// Returns a document as JSON.
+/// Encodes a document as JSON.
 pub fn encode_document(document: &Document) -> Bytes {
-    // Maps with text keys and plain fields always have a JSON form.
+    // Cannot fail: all map keys are strings.
     serde_json::to_vec(document).unwrap_or_default().into()
 }
 
-/// Parses a document.
+/// Parses a document from JSON text.
 ///
 /// # Errors
 ///
-/// Lists each entry that does not have the expected shape.
+/// Returns a problem for each element that does not match the schema.
 pub fn decode_document(json: &[u8]) -> Result<Document, Vec<Problem>> {
     match serde_json::from_slice(json) {
-        Ok(value) => document_from(value),
+        Ok(value) => document_from_json(value),
         Err(error) => Err(vec![Problem::new("", error)]),
     }
 }
 
-/// Builds a document from its JSON form.
+/// Converts a JSON value to a document.
 ///
 /// # Errors
 ///
-/// Lists each entry that does not have the expected shape.
-pub fn document_from(value: Value) -> Result<Document, Vec<Problem>> {
+/// Returns a problem for each element that does not match the schema.
+pub fn document_from_json(value: Value) -> Result<Document, Vec<Problem>> {
     let Value::Object(mut sections) = value else {
         return Err(vec![Problem::new("", "the document is not a JSON object")]);
     };
@@ -103,14 +103,14 @@
         classes: section(&mut sections, "classes", &mut problems),
         closings: section(&mut sections, "closings", &mut problems),
     };
-    problems.extend(sections.keys().map(|name| Problem::new(name, "there is no such section")));
+    problems.extend(sections.keys().map(|name| Problem::new(name, "unknown section")));
     match problems.is_empty() {
         true => Ok(document),
         false => Err(problems),
     }
 }
 
-/// Reads each entry of a section by itself, so that one fault does not hide the others.
+/// Parses each element of a section separately, so that all malformed elements are reported.
 fn section<T: DeserializeOwned>(
     sections: &mut Map<String, Value>,
     name: &str,
--- a/crates/core/src/config/state.rs
+++ b/crates/core/src/config/state.rs
@@ -1,4 +1,4 @@
-//! The version in effect, and the recent patches that lead to it.
+//! The configuration version in effect, and the recent patches that led to it.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -10,18 +10,18 @@
 use crate::id::ConfigVersion;
 use crate::message::announce::ConfigUpdate;
 
-/// Most patches kept for processes that are behind.
-const WINDOW_PATCHES: usize = 256;
-/// Most bytes of patches kept, apart from the last patch; longer answers cost about as much as a
-/// document.
-const WINDOW_BYTES: usize = 64 * 1024;
+/// Maximum number of patches kept for processes that have an older version.
+const MAX_RECENT_PATCHES: usize = 256;
+/// Maximum total size of the patches kept, in bytes; the last patch is always kept. Sending more
+/// costs about as much as sending the document.
+const MAX_RECENT_BYTES: usize = 64 * 1024;
 
-/// An update that cannot be applied.
+/// Reason why an update cannot be applied.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum UpdateError {
-    /// The patches begin after the next version.
+    /// Versions between the one in effect and the first patch are missing.
     Gap { version: ConfigVersion, first: ConfigVersion },
-    /// The content does not have the shape of a document.
+    /// The content does not match the schema of the document.
     Malformed(Vec<Problem>),
 }
 
@@ -44,29 +44,31 @@
 
 impl std::error::Error for UpdateError {}
 
-/// The configuration that a process has in effect. Its version never falls.
+/// The configuration in effect in one process. Its version never decreases.
 #[derive(Debug, Clone, Default)]
 pub struct ConfigState {
     pub version: ConfigVersion,
     pub document: Arc<Document>,
-    /// Patches that lead to `version`, the last one last.
-    window: VecDeque<Bytes>,
-    window_bytes: usize,
-    /// JSON of `document`, made when it is first needed.
+    /// Latest patches up to `version`, oldest first.
+    recent_patches: VecDeque<Bytes>,
+    /// Total size of `recent_patches`, in bytes.
+    recent_bytes: usize,
+    /// `document` as JSON, encoded on first use.
     encoded: Arc<OnceLock<Bytes>>,
 }
 
 impl ConfigState {
-    /// Builds a state without recent patches.
+    /// Creates a state without recent patches.
     pub fn new(version: ConfigVersion, document: Arc<Document>) -> Self {
         ConfigState { version, document, ..ConfigState::default() }
     }
 
-    /// Applies what is newer than the version in effect; tells whether anything was.
+    /// Applies the part of an update that is newer than the version in effect. Returns whether the
+    /// version changed.
     ///
     /// # Errors
     ///
-    /// Fails, and changes nothing, when versions are missing or the content is malformed.
+    /// Fails when versions are missing or the content is malformed; the state stays unchanged.
     pub fn apply_update(&mut self, update: &ConfigUpdate) -> Result<bool, UpdateError> {
         match update {
             ConfigUpdate::Current => Ok(false),
@@ -101,29 +103,30 @@
         self.document = Arc::new(document);
         self.encoded = Arc::default();
         self.version = end - 1;
-        new.iter().for_each(|patch| self.remember(patch.clone()));
+        new.iter().for_each(|patch| self.push_recent(patch.clone()));
         Ok(true)
     }
 
-    fn remember(&mut self, patch: Bytes) {
-        self.window_bytes += patch.len();
-        self.window.push_back(patch);
-        let is_over =
-            |state: &Self| state.window.len() > WINDOW_PATCHES || state.window_bytes > WINDOW_BYTES;
-        while self.window.len() > 1 && is_over(self) {
-            self.window_bytes -= self.window.pop_front().map_or(0, |patch| patch.len());
+    fn push_recent(&mut self, patch: Bytes) {
+        self.recent_bytes += patch.len();
+        self.recent_patches.push_back(patch);
+        let exceeds_limits = |state: &Self| {
+            state.recent_patches.len() > MAX_RECENT_PATCHES || state.recent_bytes > MAX_RECENT_BYTES
+        };
+        while self.recent_patches.len() > 1 && exceeds_limits(self) {
+            self.recent_bytes -= self.recent_patches.pop_front().map_or(0, |patch| patch.len());
         }
     }
 
-    /// Returns what a process at `version` lacks: the patches if they are known and shorter than
-    /// the document, else the document.
+    /// Returns the update for a process at `version`: the patches since then if they are kept and
+    /// not larger than the document, otherwise the document.
     pub fn update_since(&self, version: ConfigVersion) -> ConfigUpdate {
         if version >= self.version {
             return ConfigUpdate::Current;
         }
         let missing = usize::try_from(self.version - version).unwrap_or(usize::MAX);
-        if let Some(skipped) = self.window.len().checked_sub(missing) {
-            let patches: Vec<Bytes> = self.window.iter().skip(skipped).cloned().collect();
+        if let Some(skipped) = self.recent_patches.len().checked_sub(missing) {
+            let patches: Vec<Bytes> = self.recent_patches.iter().skip(skipped).cloned().collect();
             let size: usize = patches.iter().map(Bytes::len).sum();
             if size <= self.encoded().len() {
                 return ConfigUpdate::Patches { first: version + 1, patches };
--- a/crates/core/src/flow/owner.rs
+++ b/crates/core/src/flow/owner.rs
@@ -461,7 +461,7 @@
 
 /// Number that stands for a step's image.
 pub(super) fn image_number(step: &Step) -> Image {
-    hash::stable(step.image.as_bytes()) as u32
+    hash::hash64(step.image.as_bytes()) as u32
 }
 
 /// Returns what an agent needs to know of a step's tasks.
--- a/crates/core/src/homes.rs
+++ b/crates/core/src/homes.rs
@@ -38,6 +38,6 @@
 pub fn digest(entries: &[EntryAddress]) -> u64 {
     entries.iter().fold(0, |digest, entry| {
         let text = format!("{}\0{}\0{}", entry.entry, entry.data_centre, entry.address);
-        digest ^ hash::stable(text.as_bytes())
+        digest ^ hash::hash64(text.as_bytes())
     })
 }
--- a/crates/core/src/keys.rs
+++ b/crates/core/src/keys.rs
@@ -45,7 +45,7 @@
 
 /// Returns the bucket of a key.
 pub fn bucket_of(key: &[u8]) -> BucketIndex {
-    (hash::stable(key) % BUCKETS as u64) as usize
+    (hash::hash64(key) % BUCKETS as u64) as usize
 }
 
 /// The incarnation of an agent that may run the keys of a bucket.
--- a/crates/core/src/keys/lists.rs
+++ b/crates/core/src/keys/lists.rs
@@ -20,7 +20,7 @@
 
 /// Returns the hash of a key.
 pub fn hash_of(key: &[u8]) -> KeyHash {
-    hash::wide(key)
+    hash::hash128(key)
 }
 
 /// Returns the buckets of a move as a mask.
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,7 +1,8 @@
-//! Decision cores and message types of peridotfold.
+//! Deterministic state machines and message types of peridotfold.
 //!
 //! Nothing in this crate opens a socket, reads a clock, sleeps or uses a global random number
-//! generator. Each core takes the current time and an input, and returns the actions to perform.
+//! generator. Each state machine takes the current time and an input, and returns the actions that
+//! its caller performs.
 
 pub mod admission;
 pub mod cell;
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -1,6 +1,6 @@
-//! Messages between the system's own processes.
+//! Messages between the processes of the system: entries and agents.
 //!
-//! Each message travels as one frame on an `h2` stream, encoded by `bincode`. See section 5 of
+//! Each message is sent as one frame on an `h2` stream, encoded with `bincode`. See section 5 of
 //! `docs/design.md`.
 
 pub mod announce;
--- a/crates/core/src/message/report.rs
+++ b/crates/core/src/message/report.rs
@@ -1,4 +1,4 @@
-//! Reports of agents to the owner of their cell, and the owner's orders.
+//! Reports that agents send to the owner of their cell, and the orders that it returns.
 
 use std::time::Duration;
 
@@ -9,7 +9,8 @@
 use crate::message::announce::AgentState;
 use crate::resources::Resources;
 
-/// Fencing token of one attempt to run a task. Only rises for a task.
+/// Fencing token of one attempt to run a task. Each attempt of a task has a higher token than the
+/// attempts before it.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -18,7 +19,7 @@
     pub number: u64,
 }
 
-/// Identity of one attempt.
+/// Identity of one attempt to run a task.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct AttemptId {
     pub job: JobId,
@@ -26,13 +27,13 @@
     pub token: Token,
 }
 
-/// An attempt that an agent holds.
+/// An attempt that an agent is running, starting or stopping.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RunningTask {
     pub attempt: AttemptId,
-    /// Last usage measured by the worker; zero while none is known.
+    /// Latest usage measured by the worker; zero before the first measurement.
     pub measured: Resources,
-    /// Share of full speed that the task is allowed, in percent.
+    /// Throttle: the share of full speed at which the task may run, in percent.
     pub speed_percent: u8,
 }
 
@@ -40,57 +41,60 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
     Completed,
-    /// Stopped before the end; resumes from the checkpoint, if any.
+    /// Stopped before completion without an order of the owner, for example because the lease
+    /// expired; resumes from the checkpoint, if any.
     Evicted {
         checkpoint: Option<Bytes>,
     },
     Failed {
         reason: String,
     },
-    /// Stopped by order, or never started.
+    /// Stopped by an order of the owner, or stopped before it started.
     Stopped {
         checkpoint: Option<Bytes>,
     },
-    /// The agent refused to start it.
+    /// The agent refused to start the attempt.
     Refused {
         reason: String,
     },
 }
 
-/// An ended attempt, repeated in each report until the owner acknowledges it.
+/// Outcome of an ended attempt, repeated in each report until the owner acknowledges it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskResult {
     pub attempt: AttemptId,
     pub outcome: Outcome,
 }
 
-/// What an agent tells the owner of its cell.
+/// Periodic status report of an agent to the owner of its cell.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Report {
     pub agent: AgentId,
     pub incarnation: Incarnation,
-    /// Last challenge that this incarnation received; zero before any.
+    /// Last [`Orders::challenge`] that this incarnation received; zero if there was none.
     pub echo: u64,
     pub cell: CellId,
     pub rack: String,
     pub sequence: u64,
     pub state: AgentState,
-    /// Highest epoch of the cell that the agent has accepted.
+    /// Highest epoch of an owner whose orders the agent has accepted.
     pub epoch: Epoch,
-    /// Capacity of the VM after the limits of its services.
+    /// Capacity of the VM minus the resources reserved for its services.
     pub batch_capacity: Resources,
     /// Part of `batch_capacity` that is not reserved.
     pub free: Resources,
-    /// What urgent work may take; more than `free` while a closing is being prepared.
+    /// Resources that urgent tasks may take. Exceeds `free` early in the lead time of a closing, when
+    /// the closing's lower limit does not apply to urgent tasks yet.
     pub urgent_free: Resources,
-    /// All attempts on the VM, also those that are starting or stopping.
+    /// All attempts on the VM, including those that are starting or stopping.
     pub running: Vec<RunningTask>,
     pub results: Vec<TaskResult>,
-    /// Slow-down of the VM's services caused by batch work, in percent; lags.
+    /// Slowdown of the VM's services caused by batch work, in percent. The estimate lags behind
+    /// the current load.
     pub pressure_percent: u32,
 }
 
-/// Order to start an attempt.
+/// Order to an agent to start an attempt.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StartOrder {
     pub attempt: AttemptId,
@@ -103,26 +107,27 @@
     pub checkpoint: Option<Bytes>,
 }
 
-/// Order to stop an attempt.
+/// Order to an agent to stop an attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StopOrder {
     pub attempt: AttemptId,
-    /// Takes a checkpoint first.
+    /// Whether to take a checkpoint first.
     pub checkpoint: bool,
 }
 
-/// The owner's answer to a [`Report`].
+/// The owner's reply to a [`Report`].
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Orders {
     pub epoch: Epoch,
-    /// Sequence of the report that is answered. The lease counts from when that report was sent.
+    /// Sequence number of the answered report. The lease begins when that report was sent.
     pub sequence: u64,
-    /// To be returned in the next reports; zero if there is none.
+    /// Random number that proves which incarnation of the agent is live: the agent echoes it in
+    /// its next reports. Zero if there is none.
     pub challenge: u64,
-    /// Lease on all attempts of the agent; zero grants nothing and starts nothing.
+    /// Length of the lease on all attempts of the agent. With zero, nothing may start.
     pub lease: Duration,
     pub starts: Vec<StartOrder>,
     pub stops: Vec<StopOrder>,
-    /// Results that are committed and need not be repeated.
+    /// Attempts whose results are committed and need not be reported again.
     pub acknowledged: Vec<AttemptId>,
 }
--- a/crates/core/src/message/request.rs
+++ b/crates/core/src/message/request.rs
@@ -1,4 +1,4 @@
-//! Caller requests on their way from an entry to an agent.
+//! Callers' requests that an entry dispatches to an agent, and the agent's responses.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 
 use crate::id::{ConfigVersion, EntryId, Incarnation, RequestNumber, ServiceId};
 
-/// Identity of one dispatch of a request. An agent admits each at most once.
+/// Identity of one dispatch of a request. An agent accepts each identity at most once.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RequestId {
     pub entry: EntryId,
@@ -15,26 +15,27 @@
     pub number: RequestNumber,
 }
 
-/// Head of a request. Body frames ([`BodyFrame`]) follow on the same stream.
+/// First frame of a request. The body follows on the same stream as [`BodyFrame`]s.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct RequestHead {
     pub id: RequestId,
-    /// The agent incarnation that the entry means; another one refuses.
+    /// Incarnation of the agent that the entry chose; any other one refuses the request.
     pub agent_incarnation: Incarnation,
     pub service: ServiceId,
     pub method: String,
-    /// Path and query.
+    /// Path and query of the URL.
     pub path: String,
     pub headers: Vec<(Bytes, Bytes)>,
-    /// Idempotency key, scoped by the caller's team.
+    /// Idempotency key, unique within the caller's team.
     pub key: Option<Bytes>,
-    /// Time left until the caller's deadline, when the head was sent.
+    /// Time from the sending of this frame to the caller's deadline.
     pub timeout: Duration,
     pub config_version: ConfigVersion,
     pub trace: TraceContext,
 }
 
-/// Trace identifiers carried through each hop, as in the W3C `traceparent` header.
+/// Trace and span identifiers that are passed on with the request, as in the W3C `traceparent`
+/// header.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TraceContext {
     pub trace: u128,
@@ -45,63 +46,65 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BodyFrame {
     Data(Bytes),
-    /// The body is complete. A stream that ends without this frame was cut.
+    /// The body is complete. A stream that ends without this frame was truncated.
     End,
 }
 
 /// Why a request was not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum RefuseReason {
-    /// All slots and the queue are taken, or the deadline would pass in the queue.
+    /// All slots and the queue are full, or the deadline would pass in the queue.
     Overloaded,
-    /// The agent is leaving.
+    /// The agent is draining and accepts no new requests.
     Leaving,
-    /// The agent does not serve this service.
+    /// The agent does not serve the requested service.
     UnknownService,
     /// The request named another incarnation of the agent.
     WrongIncarnation,
-    /// The request was cancelled before it was started, or is a duplicate of an admitted one.
+    /// The request was cancelled before it started, or the agent has already accepted it.
     Duplicate,
     /// The agent has no configuration yet.
     NoConfig,
-    /// The upstream could not be connected; nothing was sent to it.
+    /// The connection to the upstream failed; nothing was sent to it.
     UpstreamUnreachable,
     /// No live upstream is known.
     NoUpstream,
-    /// The bucket of the key has no holder that may run it.
+    /// No agent can run the idempotency key now: for example, its bucket (see [`crate::keys`]) is
+    /// being moved, or the key table of the agent is full.
     KeyUnavailable,
-    /// The deadline passed before the request was started.
+    /// The deadline passed before the request started.
     DeadlinePassed,
-    /// The caller's quota is used up.
+    /// The caller's quota is exhausted.
     Quota,
-    /// A later incarnation of the entry has taken over what this one dispatched.
+    /// The request comes from an entry process that a later incarnation has replaced.
     EntryEnded,
 }
 
-/// First frame of an agent's answer to a [`RequestHead`].
+/// First frame of an agent's response to a [`RequestHead`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum ResponseHead {
-    /// The upstream answers; [`BodyFrame`]s follow.
+    /// Response of the upstream, or an earlier one replayed for the same idempotency key.
+    /// [`BodyFrame`]s follow.
     Answer { status: u16, headers: Vec<(Bytes, Bytes)>, replayed: bool },
-    /// Certainly not run, and a late copy of this request id will be refused.
+    /// The request did not run, and the agent will refuse late copies with the same id.
     NotRun { reason: RefuseReason, retry_after: Duration },
-    /// May have run. It will not be run again under the same key.
+    /// The request may have run. It will not run again under the same idempotency key.
     Unknown { detail: String },
 }
 
-/// Asks an agent to give up a request that was sent to it.
+/// Asks an agent to cancel a dispatched request that has not started.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Cancel {
     pub id: RequestId,
 }
 
-/// Answer to [`Cancel`].
+/// Reply to a [`Cancel`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CancelReply {
-    /// It was not started, and a late copy will be refused.
+    /// The request had not started, and the agent will refuse late copies.
     NotStarted,
-    /// It was started and is still running.
+    /// The request has started and is still running.
     Running,
-    /// It was started and has ended.
+    /// The request has started and ended.
     Done,
 }
--- a/crates/core/src/resources.rs
+++ b/crates/core/src/resources.rs
@@ -1,33 +1,33 @@
-//! Processors, memory and accelerators.
+//! Amounts of processors, memory and accelerators.
 
 use serde::{Deserialize, Serialize};
 
-/// An amount of each resource of a VM.
+/// An amount of each resource that a VM has.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Resources {
-    /// Processors, in thousandths of a core.
+    /// CPU time, in thousandths of a core.
     pub cpu_milli: u64,
     /// Memory, in MiB.
     pub memory_mib: u64,
-    /// Whole accelerators.
+    /// Number of accelerators; one is never shared.
     pub accelerators: u64,
 }
 
 impl Resources {
-    /// Builds an amount.
+    /// Creates an amount from its parts, in the units of the fields.
     pub const fn new(cpu_milli: u64, memory_mib: u64, accelerators: u64) -> Self {
         Resources { cpu_milli, memory_mib, accelerators }
     }
 
-    /// Tells whether `self` is at most `room` in each resource.
-    pub fn fits_in(&self, room: &Resources) -> bool {
-        self.cpu_milli <= room.cpu_milli
-            && self.memory_mib <= room.memory_mib
-            && self.accelerators <= room.accelerators
+    /// Tells whether no resource of `self` exceeds that of `available`.
+    pub fn fits_in(&self, available: &Resources) -> bool {
+        self.cpu_milli <= available.cpu_milli
+            && self.memory_mib <= available.memory_mib
+            && self.accelerators <= available.accelerators
     }
 
-    /// Adds in each resource, saturating.
+    /// Returns the sum of each resource, saturating at `u64::MAX`.
     pub fn plus(&self, other: &Resources) -> Resources {
         Resources {
             cpu_milli: self.cpu_milli.saturating_add(other.cpu_milli),
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Subtracts in each resource, stopping at zero.
+    /// Returns the difference of each resource, saturating at zero.
     pub fn minus(&self, other: &Resources) -> Resources {
         Resources {
             cpu_milli: self.cpu_milli.saturating_sub(other.cpu_milli),
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Returns the larger amount of each resource.
+    /// Returns the larger of the two amounts of each resource.
     pub fn max(&self, other: &Resources) -> Resources {
         Resources {
             cpu_milli: self.cpu_milli.max(other.cpu_milli),
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Returns the smaller amount of each resource.
+    /// Returns the smaller of the two amounts of each resource.
     pub fn min(&self, other: &Resources) -> Resources {
         Resources {
             cpu_milli: self.cpu_milli.min(other.cpu_milli),
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Tells whether each resource is zero.
+    /// Tells whether all resources are zero.
     pub fn is_zero(&self) -> bool {
         *self == Resources::default()
     }
--- a/crates/core/src/time.rs
+++ b/crates/core/src/time.rs
@@ -1,17 +1,17 @@
-//! Time as seen by the cores.
+//! Time in the state machines, and safety margins for leases between hosts.
 
 use std::time::Duration;
 
-/// Monotonic time since the start of the process (or of the test).
+/// Monotonic time since the start of the process, or since the start of a simulated test.
 pub type Time = Duration;
 
-/// Largest assumed difference between two hosts' clock rates, in percent.
-pub const CLOCK_RATE_MARGIN_PERCENT: u32 = 2;
-/// Fixed addition to each lease comparison between hosts; covers scheduling and rounding.
-pub const CLOCK_FIXED_MARGIN: Duration = Duration::from_millis(500);
+/// Largest difference between the clock rates of two hosts that leases tolerate, in percent.
+pub const MAX_CLOCK_DRIFT_PERCENT: u32 = 2;
+/// Time added to each wait for another host's lease; covers scheduling delays and rounding.
+pub const LEASE_FIXED_MARGIN: Duration = Duration::from_millis(500);
 
-/// Returns the time after which another host's lease of length `lease`, granted no later than
-/// the start of the wait, has certainly run out.
+/// Returns how long to wait until another host's lease of length `lease` has certainly expired.
+/// The lease must have been granted before the wait begins.
 pub fn lease_wait(lease: Duration) -> Duration {
-    lease + lease * CLOCK_RATE_MARGIN_PERCENT / 100 + CLOCK_FIXED_MARGIN
+    lease + lease * MAX_CLOCK_DRIFT_PERCENT / 100 + LEASE_FIXED_MARGIN
 }
--- a/crates/core/tests/config.rs
+++ b/crates/core/tests/config.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use peridotfold_core::config::patch::{DOCUMENT_LIMIT, PATCH_LIMIT};
+use peridotfold_core::config::patch::{MAX_DOCUMENT_BYTES, MAX_PATCH_BYTES};
 use peridotfold_core::config::{
     apply_patch, decode_document, encode_document, validate, ConfigState, Document, UpdateError,
 };
@@ -152,7 +152,7 @@
 
 #[test]
 fn oversized_patches_and_documents_are_rejected() {
-    let padding = " ".repeat(PATCH_LIMIT - 1);
+    let padding = " ".repeat(MAX_PATCH_BYTES - 1);
     assert!(apply_patch(&base(), format!("{{}}{padding}").as_bytes()).is_err());
     assert!(apply_patch(&base(), format!("{{}}{}", &padding[1..]).as_bytes()).is_ok());
     let mut document = base();
@@ -168,7 +168,7 @@
             Err(problems) => break problems,
         }
     };
-    assert!(encode_document(&document).len() <= DOCUMENT_LIMIT);
+    assert!(encode_document(&document).len() <= MAX_DOCUMENT_BYTES);
     assert_eq!(problems.len(), 1);
     assert!(problems[0].detail.contains("limit"), "{}", problems[0]);
 }
--- a/crates/standins/src/upstream/answers.rs
+++ b/crates/standins/src/upstream/answers.rs
@@ -17,7 +17,7 @@
 /// Returns the answer to `GET` of a path and query below `/slot/`. Each line has the path, its
 /// number, and a hash that only this path yields; the last line has the number of lines.
 pub fn slot_body(path: &str) -> String {
-    let seed = hash::stable(path.as_bytes());
+    let seed = hash::hash64(path.as_bytes());
     let lines = LINES_MIN + seed % (LINES_MAX - LINES_MIN + 1);
     let mut body = String::new();
     for line in 0..lines {
--- a/crates/store/src/repository/history.rs
+++ b/crates/store/src/repository/history.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use bytes::Bytes;
-use peridotfold_core::config::patch::{document_from, merge_value};
+use peridotfold_core::config::patch::{document_from_json, merge_json};
 use peridotfold_core::config::{Document, Problem};
 use peridotfold_core::id::ConfigVersion;
 use peridotfold_core::message::announce::ConfigUpdate;
@@ -61,7 +61,7 @@
     type Record = Change;
 
     fn apply(&mut self, change: &Change) {
-        if let Err(problem) = merge_value(&mut self.document.0, &change.patch) {
+        if let Err(problem) = merge_json(&mut self.document.0, &change.patch) {
             // Patches are checked before they are appended.
             tracing::error!(event = "patch_skipped", version = self.version + 1, %problem);
         }
@@ -85,7 +85,7 @@
     ///
     /// Fails when a newer release accepted something that this one does not know.
     pub fn document(&self) -> Result<Document, Vec<Problem>> {
-        document_from(self.document.0.clone())
+        document_from_json(self.document.0.clone())
     }
 
     /// Returns the last changes with their versions, oldest first.
