--- a/crates/core/src/config/patch.rs
+++ b/crates/core/src/config/patch.rs
@@ -96,12 +96,12 @@
     };
     let mut problems = Vec::new();
     let document = Document {
-        vm_sizes: section(&mut sections, "vm_sizes", &mut problems),
-        cells: section(&mut sections, "cells", &mut problems),
-        teams: section(&mut sections, "teams", &mut problems),
-        services: section(&mut sections, "services", &mut problems),
-        classes: section(&mut sections, "classes", &mut problems),
-        closings: section(&mut sections, "closings", &mut problems),
+        vm_sizes: parse_section(&mut sections, "vm_sizes", &mut problems),
+        cells: parse_section(&mut sections, "cells", &mut problems),
+        teams: parse_section(&mut sections, "teams", &mut problems),
+        services: parse_section(&mut sections, "services", &mut problems),
+        classes: parse_section(&mut sections, "classes", &mut problems),
+        closings: parse_section(&mut sections, "closings", &mut problems),
     };
     problems.extend(sections.keys().map(|name| Problem::new(name, "unknown section")));
     match problems.is_empty() {
@@ -111,7 +111,7 @@
 }
 
 /// Parses each element of a section separately, so that all malformed elements are reported.
-fn section<T: DeserializeOwned>(
+fn parse_section<T: DeserializeOwned>(
     sections: &mut Map<String, Value>,
     name: &str,
     problems: &mut Vec<Problem>,
--- a/crates/core/src/config/validate.rs
+++ b/crates/core/src/config/validate.rs
@@ -60,7 +60,7 @@
 }
 
 impl Validator<'_> {
-    fn report(&mut self, field: impl Into<String>, detail: impl fmt::Display) {
+    fn add_problem(&mut self, field: impl Into<String>, detail: impl fmt::Display) {
         self.problems.push(Problem::new(field, detail));
     }
 
@@ -88,15 +88,14 @@
     fn check_name(&mut self, field: String, name: &str) {
         let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '.' | '_' | '-');
         match name {
-            "" => self.report(field, "the name is empty"),
-            "." | ".." => self.report(field, "the name is reserved"),
+            "" => self.add_problem(field, "the name is empty"),
+            "." | ".." => self.add_problem(field, "the name is reserved"),
             _ if name.len() > MAX_NAME_BYTES => {
-                self.report(field, format!("the name exceeds {MAX_NAME_BYTES} bytes"))
-            }
-            _ if name.contains('/') => self.report(field, "the name contains a slash"),
-            _ if !name.chars().all(is_allowed) => {
-                self.report(field, "the name may contain only letters, digits, '.', '_' and '-'")
+                self.add_problem(field, format!("the name exceeds {MAX_NAME_BYTES} bytes"))
             }
+            _ if name.contains('/') => self.add_problem(field, "the name contains a slash"),
+            _ if !name.chars().all(is_allowed) => self
+                .add_problem(field, "the name may contain only letters, digits, '.', '_' and '-'"),
             _ => {}
         }
     }
@@ -110,16 +109,16 @@
 
     fn check_positive(&mut self, field: &str, amount: &Resources) {
         if amount.cpu_milli == 0 {
-            self.report(format!("{field}.cpu_milli"), "must be greater than zero");
+            self.add_problem(format!("{field}.cpu_milli"), "must be greater than zero");
         }
         if amount.memory_mib == 0 {
-            self.report(format!("{field}.memory_mib"), "must be greater than zero");
+            self.add_problem(format!("{field}.memory_mib"), "must be greater than zero");
         }
     }
 
     fn check_fits(&mut self, field: &str, limit: &Resources) {
         if !self.document.vm_sizes.values().any(|size| limit.fits_in(size)) {
-            self.report(field, "does not fit any VM size");
+            self.add_problem(field, "does not fit any VM size");
         }
     }
 
@@ -130,9 +129,9 @@
             let field = format!("teams.{name}.token_sha256");
             let is_hex = |b: u8| matches!(b, b'0'..=b'9' | b'a'..=b'f');
             if digest.len() != DIGEST_HEX_DIGITS || !digest.bytes().all(is_hex) {
-                self.report(field, "is not a SHA-256 digest in lower-case hex");
+                self.add_problem(field, "is not a SHA-256 digest in lower-case hex");
             } else if let Some(other) = teams_by_digest.insert(digest, name) {
-                self.report(field, format!("is also the digest of team {other}"));
+                self.add_problem(field, format!("is also the digest of team {other}"));
             }
         }
     }
@@ -147,17 +146,17 @@
         let mut seen: BTreeSet<&'n str> = BTreeSet::new();
         for name in names {
             if !exists(name) {
-                self.report(field, format!("{kind} {name:?} does not exist"));
+                self.add_problem(field, format!("{kind} {name:?} does not exist"));
             }
             if !seen.insert(name) {
-                self.report(field, format!("{name:?} is listed twice"));
+                self.add_problem(field, format!("{name:?} is listed twice"));
             }
         }
     }
 
     fn check_range(&mut self, field: String, value: u64, low: u64, high: u64) {
         if value < low || value > high {
-            self.report(field, format!("{value} is not between {low} and {high}"));
+            self.add_problem(field, format!("{value} is not between {low} and {high}"));
         }
     }
 
@@ -180,7 +179,7 @@
         self.check_range(field("target_ms"), service.target_ms, 1, MAX_TIMEOUT_MS);
         let is_in_range = service.connections > 0 && service.slots <= MAX_SLOTS;
         if is_in_range && service.connections < service.slots {
-            self.report(
+            self.add_problem(
                 field("connections"),
                 "must be at least slots, because each running request uses a connection",
             );
@@ -207,16 +206,19 @@
             self.check_fits(&field("batch_limit"), &closing.batch_limit);
             self.check_range(field("lead_s"), closing.lead_s, 0, MAX_LEAD_S);
             if closing.services.is_empty() {
-                self.report(field("services"), "must list at least one service");
+                self.add_problem(field("services"), "must list at least one service");
             }
             for (part, text) in [("start", &closing.start), ("end", &closing.end)] {
                 if let Err(error) = humantime::parse_rfc3339(text) {
-                    self.report(field(part), format!("{text:?} is not RFC 3339 in UTC: {error}"));
+                    self.add_problem(
+                        field(part),
+                        format!("{text:?} is not RFC 3339 in UTC: {error}"),
+                    );
                 }
             }
             match closing.period() {
                 Ok((start, end)) if end <= start => {
-                    self.report(field("end"), "must be after the start")
+                    self.add_problem(field("end"), "must be after the start")
                 }
                 Ok((start, end)) => periods.push((name, closing, start, end)),
                 Err(_) => {}
@@ -238,7 +240,7 @@
                     .collect();
                 if !shared.is_empty() {
                     let detail = format!("overlaps {name} in {}", shared.join(", "));
-                    self.report(format!("closings.{other}"), detail);
+                    self.add_problem(format!("closings.{other}"), detail);
                 }
             }
         }
--- a/crates/core/src/message/report.rs
+++ b/crates/core/src/message/report.rs
@@ -121,10 +121,10 @@
     pub epoch: Epoch,
     /// Sequence number of the answered report. The lease begins when that report was sent.
     pub sequence: u64,
-    /// Random number that proves which incarnation of the agent is live: the agent echoes it in
-    /// its next reports. Zero if there is none.
+    /// Random number that the agent returns as [`Report::echo`], to prove that the reporting
+    /// incarnation is live. Zero if there is none.
     pub challenge: u64,
-    /// Length of the lease on all attempts of the agent. With zero, nothing may start.
+    /// Length of the lease on all attempts of the agent. Zero extends no lease and starts nothing.
     pub lease: Duration,
     pub starts: Vec<StartOrder>,
     pub stops: Vec<StopOrder>,
--- a/crates/core/tests/composed/main.rs
+++ b/crates/core/tests/composed/main.rs
@@ -36,6 +36,7 @@
 #[test]
 fn owner_and_agents_keep_the_invariants_under_faults() {
     let evictions = schedules::run(SCHEDULES, check);
-    let enough = schedules::only_seed().is_some() || evictions > schedules::count(SCHEDULES) / 2;
-    assert!(enough, "the schedules evict too few tasks: {evictions}");
+    let evicts_enough =
+        schedules::only_seed().is_some() || evictions > schedules::count(SCHEDULES) / 2;
+    assert!(evicts_enough, "the schedules evict too few tasks: {evictions}");
 }
--- a/crates/core/tests/composed/vm.rs
+++ b/crates/core/tests/composed/vm.rs
@@ -98,8 +98,8 @@
     }
 
     /// Runs steps of the agent's poll cycle until it has to wait.
-    pub fn run_agent(&mut self, now: Time, faulty: bool, rng: &mut Rng) {
-        let rates = if faulty { FAULT_RATES } else { FaultRates::default() };
+    pub fn run_agent(&mut self, now: Time, inject_faults: bool, rng: &mut Rng) {
+        let rates = if inject_faults { FAULT_RATES } else { FaultRates::default() };
         while self.step_agent(now, &rates, rng) {}
     }
 }
--- a/crates/core/tests/composed/world.rs
+++ b/crates/core/tests/composed/world.rs
@@ -16,7 +16,7 @@
 
 const FAULTS_END: Time = Duration::from_secs(25);
 const VM_STEP_INTERVAL: Duration = Duration::from_millis(100);
-const VMS: usize = 3;
+const VM_COUNT: usize = 3;
 /// Lease and outage hold are short, so that they expire often in each schedule.
 const TIMING: Timing = Timing {
     settings: CellSettings {
@@ -51,6 +51,7 @@
     Fault,
     /// Begins a [`SplitBrain`]; the following inputs are its steps.
     SplitBrain,
+    /// Cuts the owner off from the store, so that another one takes over.
     CutOwner(SplitBrain),
     ReportToSuccessor(SplitBrain),
     ReportToFormer(SplitBrain),
@@ -75,6 +76,7 @@
 /// Why the agent reports to the former owner again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Cause {
+    /// The answers of the successor are lost.
     AnswersLost,
     AgentRestarted,
     VmReplaced,
@@ -95,13 +97,19 @@
 enum Fault {
     KillOwner,
     PauseOwner,
+    /// Cuts the owner off from the store.
     CutOwner,
+    /// The owner gives up the cell.
     ReleaseOwner,
     KillAgent,
     FreezeAgent,
+    /// Replaces a VM by an empty one.
     ReplaceVm,
+    /// Replaces all VMs of a rack.
     LoseRack,
+    /// Loses the reports of a VM.
     CutReports,
+    /// Loses the answers to a VM.
     CutAnswers,
     StoreDown,
     StoreSlow,
@@ -147,11 +155,11 @@
 
     fn new(seed: u64) -> Self {
         let mut rng = Rng::with_seed(seed);
-        let vms = (0..VMS).map(|index| Vm::new(&mut rng, index)).collect();
+        let vms = (0..VM_COUNT).map(|index| Vm::new(&mut rng, index)).collect();
         let mut world = World { cell: CellWorld::new(rng, TIMING), vms };
         world.add_jobs();
         world.cell.take_over();
-        (0..VMS).for_each(|vm| world.boot(vm, None));
+        (0..VM_COUNT).for_each(|vm| world.boot(vm, None));
         world.after(VM_STEP_INTERVAL, WorldInput::StepVms);
         world.add_faults();
         world
@@ -222,7 +230,7 @@
     }
 
     fn inject_fault(&mut self) {
-        let vm = self.cell.rng.usize(0..VMS);
+        let vm = self.cell.rng.usize(0..VM_COUNT);
         let current = self.cell.newest();
         let until = self.cell.now + ms(self.cell.rng.u64(500..15_000));
         let fault = FAULTS[usize::from(self.cell.rng.u8(0..FAULTS.len() as u8))];
@@ -254,7 +262,7 @@
             Fault::ReplaceVm => self.replace(vm),
             Fault::LoseRack => {
                 let rack = self.vms[vm].rack.clone();
-                (0..VMS)
+                (0..VM_COUNT)
                     .filter(|vm| self.vms[*vm].rack == rack)
                     .collect::<Vec<_>>()
                     .into_iter()
@@ -326,15 +334,15 @@
 
     fn step_vms(&mut self) {
         self.after(VM_STEP_INTERVAL, WorldInput::StepVms);
-        let faulty = !self.cell.is_calm();
-        for index in 0..VMS {
+        let inject_faults = !self.cell.is_calm();
+        for index in 0..VM_COUNT {
             if self.vms[index].deliver_delayed_actions(self.cell.now) {
                 self.record_executions();
             }
-            if faulty && self.cell.now < self.vms[index].frozen_until {
+            if inject_faults && self.cell.now < self.vms[index].frozen_until {
                 continue;
             }
-            self.vms[index].run_agent(self.cell.now, faulty, &mut self.cell.rng);
+            self.vms[index].run_agent(self.cell.now, inject_faults, &mut self.cell.rng);
             self.record_executions();
         }
     }
@@ -343,7 +351,7 @@
     /// store, starts may be committed that were never sent.
     fn begin_split_brain(&mut self) {
         let rng = &mut self.cell.rng;
-        let (vm, cause) = (rng.usize(0..VMS), rng.choice(CAUSES).expect("a cause"));
+        let (vm, cause) = (rng.usize(0..VM_COUNT), rng.choice(CAUSES).expect("a cause"));
         let reports_lost = cause == Cause::VmReplaced || rng.bool();
         let cut_delay = ms(rng.u64(400..1_000));
         let to_successor = cut_delay + FAILOVER_DELAY + ms(rng.u64(50..600));
@@ -362,7 +370,7 @@
     }
 
     fn report_to_successor(&mut self, split_brain: SplitBrain) {
-        (0..VMS).for_each(|vm| self.redirect(vm, self.cell.newest()));
+        (0..VM_COUNT).for_each(|vm| self.redirect(vm, self.cell.newest()));
         if split_brain.cause == Cause::AnswersLost {
             self.vms[split_brain.vm].answers_lost_until = self.cell.now + ms(1_500);
         }
@@ -462,10 +470,10 @@
         }
         let Answer { incarnation, orders, .. } = answer;
         let sequence = agent.sequence;
-        let newest = orders.sequence == sequence;
+        let is_latest = orders.sequence == sequence;
         agent.tasks.obey(clock, orders);
         agent.tasks.take_events();
-        let is_expected = newest && !state.answered;
+        let is_expected = is_latest && !state.answered;
         state.answered |= is_expected;
         if is_expected {
             // Often earlier than the worker has stored a new epoch.
--- a/crates/core/tests/config.rs
+++ b/crates/core/tests/config.rs
@@ -11,7 +11,7 @@
 use peridotfold_core::message::announce::ConfigUpdate;
 use serde_json::{json, Value};
 
-fn base() -> Document {
+fn base_document() -> Document {
     let digest = "a".repeat(64);
     let amount = |cpu: u64| json!({"cpu_milli": cpu, "memory_mib": 1000, "accelerators": 0});
     let text = json!({
@@ -28,8 +28,8 @@
     decode_document(text.to_string().as_bytes()).unwrap()
 }
 
-fn fields(patch: &Value) -> Vec<String> {
-    match apply_patch(&base(), patch.to_string().as_bytes()) {
+fn problem_fields(patch: &Value) -> Vec<String> {
+    match apply_patch(&base_document(), patch.to_string().as_bytes()) {
         Ok(_) => Vec::new(),
         Err(problems) => problems.into_iter().map(|problem| problem.field).collect(),
     }
@@ -37,7 +37,7 @@
 
 #[test]
 fn each_fault_is_found_and_names_its_field() {
-    assert_eq!(validate(&base()), Vec::new());
+    assert_eq!(validate(&base_document()), Vec::new());
     let amount = |cpu: u64| json!({"cpu_milli": cpu, "memory_mib": 1000, "accelerators": 0});
     let closing = |start: &str, end: &str, service: &str| json!({"start": start, "end": end, "services": [service], "classes": [], "batch_limit": amount(1)});
     let service = |field: &str, value: Value| json!({"services": {"listings": {field: value}}});
@@ -99,7 +99,7 @@
         (json!([]), ""),
     ];
     for (patch, field) in &table {
-        assert_eq!(fields(patch), [*field], "{patch}");
+        assert_eq!(problem_fields(patch), [*field], "{patch}");
     }
     let allowed = [
         json!({}),
@@ -108,7 +108,7 @@
         service("slots", Value::Null),
     ];
     for patch in &allowed {
-        assert_eq!(fields(patch), Vec::<String>::new(), "{patch}");
+        assert_eq!(problem_fields(patch), Vec::<String>::new(), "{patch}");
     }
 }
 
@@ -121,7 +121,7 @@
             "classes": ["rebuild"], "batch_limit": {}
         }}
     });
-    assert_eq!(fields(&other), Vec::<String>::new());
+    assert_eq!(problem_fields(&other), Vec::<String>::new());
 }
 
 #[test]
@@ -131,7 +131,7 @@
         "teams": {"north": {"token_sha256": "x"}},
         "closings": {"december": {"start": "x", "end": "y", "services": ["gone"]}},
     });
-    let mut found = fields(&patch);
+    let mut found = problem_fields(&patch);
     found.sort();
     assert_eq!(
         found,
@@ -147,15 +147,15 @@
     );
     // All malformed elements are reported, not only the first.
     let shapes = json!({"cells": {"c1": 1, "c2": {}}, "classes": {"rebuild": {"limit": "x"}}});
-    assert_eq!(fields(&shapes), ["cells.c1", "cells.c2", "classes.rebuild"]);
+    assert_eq!(problem_fields(&shapes), ["cells.c1", "cells.c2", "classes.rebuild"]);
 }
 
 #[test]
 fn oversized_patches_and_documents_are_rejected() {
     let padding = " ".repeat(MAX_PATCH_BYTES - 1);
-    assert!(apply_patch(&base(), format!("{{}}{padding}").as_bytes()).is_err());
-    assert!(apply_patch(&base(), format!("{{}}{}", &padding[1..]).as_bytes()).is_ok());
-    let mut document = base();
+    assert!(apply_patch(&base_document(), format!("{{}}{padding}").as_bytes()).is_err());
+    assert!(apply_patch(&base_document(), format!("{{}}{}", &padding[1..]).as_bytes()).is_ok());
+    let mut document = base_document();
     let mut added = 0;
     let problems = loop {
         let cells: Value = (0..700)
@@ -175,7 +175,7 @@
 
 #[test]
 fn arbitrary_patches_never_panic() {
-    let document = base();
+    let document = base_document();
     bolero::check!().with_iterations(5_000).for_each(|input: &[u8]| {
         let _ = apply_patch(&document, input);
         let _ = decode_document(input);
@@ -189,7 +189,7 @@
 fn followers_converge_and_never_go_back() {
     for seed in 0..20 {
         let mut random = fastrand::Rng::with_seed(seed);
-        let mut leader = ConfigState::new(0, Arc::new(base()));
+        let mut leader = ConfigState::new(0, Arc::new(base_document()));
         let mut follower = leader.clone();
         let mut delayed: Vec<ConfigUpdate> = Vec::new();
         for _ in 0..400 {
@@ -230,7 +230,7 @@
 
 #[test]
 fn a_malformed_update_changes_nothing() {
-    let mut state = ConfigState::new(3, Arc::new(base()));
+    let mut state = ConfigState::new(3, Arc::new(base_document()));
     let updates = [
         ConfigUpdate::Patches {
             first: 4,
@@ -241,6 +241,6 @@
     ];
     for update in &updates {
         assert!(state.apply_update(update).is_err());
-        assert_eq!((state.version, &*state.document), (3, &base()));
+        assert_eq!((state.version, &*state.document), (3, &base_document()));
     }
 }
--- a/crates/core/tests/support/vm.rs
+++ b/crates/core/tests/support/vm.rs
@@ -72,7 +72,7 @@
     pub id: String,
     pub rack: String,
     /// Rate of the VM's clock relative to simulated time.
-    pub rate: f64,
+    pub clock_rate: f64,
     pub capacity: Resources,
     /// Whether each task that would complete on this VM fails.
     pub faulty: bool,
@@ -87,11 +87,17 @@
 }
 
 impl Vm {
-    pub fn new(id: String, rack: String, rate: f64, capacity: Resources, faulty: bool) -> Self {
+    pub fn new(
+        id: String,
+        rack: String,
+        clock_rate: f64,
+        capacity: Resources,
+        faulty: bool,
+    ) -> Self {
         Vm {
             id,
             rack,
-            rate,
+            clock_rate,
             capacity,
             faulty,
             tasks: BTreeMap::new(),
@@ -104,11 +110,11 @@
     }
 
     pub fn local_time(&self, now: Time) -> Time {
-        now.mul_f64(self.rate)
+        now.mul_f64(self.clock_rate)
     }
 
     fn global_time(&self, local_time: Time) -> Time {
-        local_time.div_f64(self.rate) + Duration::from_micros(1)
+        local_time.div_f64(self.clock_rate) + Duration::from_micros(1)
     }
 
     /// Starts an agent process.
--- a/crates/core/tests/support/world.rs
+++ b/crates/core/tests/support/world.rs
@@ -59,14 +59,20 @@
 enum Fault {
     KillAgent,
     FreezeAgent,
+    /// Replaces a VM by an empty one.
     ReplaceVm,
     KillOwner,
+    /// Cuts the owner off from the store.
     CutOwner,
+    /// The owner gives up the cell.
     ReleaseOwner,
     StoreDown,
     EvictOne,
+    /// Evicts all tasks of a VM, whose agent then drains.
     EvictAll,
+    /// Cancels half of the jobs.
     CancelHalf,
+    /// Drops all messages from and to a VM.
     CutVm,
 }
 
