--- a/crates/bench/src/colocation/simulation.rs
+++ b/crates/bench/src/colocation/simulation.rs
@@ -194,10 +194,10 @@
                 }
             }
         }
-        cell.note_store(now);
+        cell.record_store_contact(now);
         cell.poll(now);
         while !cell.take_batch().is_empty() {
-            cell.note_commit();
+            cell.confirm_commit();
         }
         cell.take_effects();
     }
--- a/crates/bench/src/recovery.rs
+++ b/crates/bench/src/recovery.rs
@@ -10,7 +10,7 @@
 use eyre::ensure;
 use fastrand::Rng;
 use peridotfold_core::cell::{
-    Cell, CellSettings, CellState, Effect, Event, JobSpec, Limits, Received, SubmitReply,
+    Cell, CellSettings, CellState, Effect, Event, JobSpec, Limits, ReportStatus, SubmitReply,
 };
 use peridotfold_core::message::announce::AgentState;
 use peridotfold_core::message::report::{
@@ -234,7 +234,7 @@
                 self.note_calls(1);
                 if self.now >= self.down_until {
                     let now = self.now;
-                    self.owners[cell].cell.note_store(now);
+                    self.owners[cell].cell.record_store_contact(now);
                 }
                 self.after(CHECK_OWNER, Input::CheckOwner(cell));
             }
@@ -274,7 +274,7 @@
         let Some(worker) = worker_index(&report.agent) else { return };
         let now = self.now;
         let owner = &mut self.owners[cell];
-        if owner.cell.report(now, report) != Received::Accepted {
+        if owner.cell.report(now, report) != ReportStatus::Accepted {
             return;
         }
         let (incarnation, sequence) = (report.incarnation, report.sequence);
@@ -344,8 +344,8 @@
             return;
         }
         owner.next_commit = now + COMMIT_GAP;
-        owner.cell.note_store(now);
-        owner.cell.note_commit();
+        owner.cell.record_store_contact(now);
+        owner.cell.confirm_commit();
         self.started += owner.sent_starts;
         self.wake(cell);
     }
--- a/crates/bench/src/scale/cell.rs
+++ b/crates/bench/src/scale/cell.rs
@@ -103,7 +103,7 @@
             return all;
         }
         all.extend(batch);
-        cell.note_commit();
+        cell.confirm_commit();
     }
 }
 
@@ -113,7 +113,7 @@
     let (mut starts, mut spent) = (0, Duration::ZERO);
     for round in 1..=ROUNDS {
         let now = Duration::from_secs(10) + Duration::from_millis(25) * round;
-        cell.note_store(now);
+        cell.record_store_contact(now);
         let before = cell.state().jobs["job"].started;
         let begin = Instant::now();
         cell.poll(now);
@@ -136,7 +136,7 @@
     let mut held: Vec<Vec<RunningTask>> = vec![Vec::new(); workers];
     while held.iter().any(|tasks| tasks.len() < TASKS_PER_VM) && sequence < 200 {
         now += Duration::from_millis(250);
-        cell.note_store(now);
+        cell.record_store_contact(now);
         for (index, tasks) in held.iter_mut().enumerate() {
             let room = TASKS_PER_VM.saturating_sub(tasks.len()) as u64 * NEED.cpu_milli;
             let report = report(index, sequence, room, tasks.clone());
@@ -162,7 +162,7 @@
 fn reports(workers: usize) -> (Duration, f64) {
     let (mut cell, reports) = loaded(workers);
     let now = Duration::from_secs(100);
-    cell.note_store(now);
+    cell.record_store_contact(now);
     let base = reports[0].sequence;
     let tasks: usize = reports.iter().map(|report| report.running.len()).sum();
     let time = mean(REPORTS, |number| {
--- a/crates/core/src/cell.rs
+++ b/crates/core/src/cell.rs
@@ -15,8 +15,8 @@
 pub mod state;
 pub mod worker;
 
-pub use attempts::Received;
-pub use jobs::{CancelReply, JobView, SubmitReply, CHECKPOINT_LIMIT};
+pub use attempts::ReportStatus;
+pub use jobs::{CancelReply, JobView, SubmitReply, MAX_CHECKPOINT_BYTES};
 pub use owner::{Cell, CellSettings, Effect, Limits, Ticket};
 pub use state::{CellState, Event, JobSpec};
 pub use worker::WorkerView;
--- a/crates/core/src/cell/answer.rs
+++ b/crates/core/src/cell/answer.rs
@@ -4,18 +4,18 @@
 
 use crate::cell::owner::Cell;
 use crate::cell::state::Attempt;
-use crate::cell::worker::{Live, Stage, StartSent, Worker};
+use crate::cell::worker::{LiveAttempt, Stage, StartSent, Worker};
 use crate::id::{Incarnation, JobId, TaskIndex};
 use crate::message::report::{AttemptId, Orders, StartOrder, StopOrder};
 use crate::time::{lease_wait, Time};
 
 /// A stop that the agent's reports do not reflect is repeated after this time.
-const REPEAT_AFTER: Duration = Duration::from_secs(1);
+const STOP_RESEND_INTERVAL: Duration = Duration::from_secs(1);
 /// A start that a newer report does not list is repeated after this time: the answer was lost.
-const REPEAT_START_AFTER: Duration = Duration::from_millis(200);
+const START_RESEND_INTERVAL: Duration = Duration::from_millis(200);
 /// Starts in one answer: with commands of 4 KB they stay far below the frame limit of 1 MB.
-const STARTS_AT_ONCE: usize = 64;
-const STOPS_AT_ONCE: usize = 512;
+const MAX_STARTS_PER_ANSWER: usize = 64;
+const MAX_STOPS_PER_ANSWER: usize = 512;
 
 impl Cell {
     /// Tells whether a report of this agent has to be answered at once.
@@ -26,7 +26,7 @@
             || worker.epoch < self.state.epoch
             || worker.candidate.is_some_and(|candidate| !candidate.sent)
             || worker.results.iter().any(|id| self.is_acknowledged(worker, id))
-            || worker.orphans.values().any(|sent| is_due(*sent, now))
+            || worker.orphans.values().any(|sent| is_resend_due(*sent, now))
             || worker.attempts.values().any(|live| {
                 self.is_stop_due(live, now) || (granting && self.is_start_due(worker, live, now))
             })
@@ -53,18 +53,18 @@
                 return Some(orders);
             }
         }
-        let newest = self.workers.by_agent(agent).is_some_and(|worker| {
+        let is_newest = self.workers.by_agent(agent).is_some_and(|worker| {
             worker.incarnation == Some(incarnation) && worker.sequence == Some(sequence)
         });
-        if !newest {
+        if !is_newest {
             return Some(orders);
         }
         if self.may_grant(now) {
             orders.lease = self.settings.lease;
             orders.starts = self.take_starts(now, agent, sequence);
-            let expires = now + lease_wait(self.settings.lease);
+            let lease_expiry = now + lease_wait(self.settings.lease);
             let worker = self.workers.by_agent_mut(agent)?;
-            worker.expires = worker.expires.max(expires);
+            worker.lease_expiry = worker.lease_expiry.max(lease_expiry);
         }
         orders.stops = self.take_stops(now, agent);
         let worker = self.workers.by_agent(agent)?;
@@ -73,7 +73,7 @@
         let committed = self.committed;
         let worker = self.workers.by_agent_mut(agent)?;
         worker.results.retain(|id| !orders.acknowledged.contains(id));
-        worker.ending.retain(|_, sequence| *sequence > committed);
+        worker.uncommitted_ends.retain(|_, sequence| *sequence > committed);
         Some(orders)
     }
 
@@ -82,7 +82,7 @@
         let due = worker.attempts.iter().filter(|(_, live)| self.is_start_due(worker, live, now));
         let orders: Vec<StartOrder> = due
             .filter_map(|((job, task), _)| self.start_order(job, *task))
-            .take(STARTS_AT_ONCE)
+            .take(MAX_STARTS_PER_ANSWER)
             .collect();
         if let Some(worker) = self.workers.by_agent_mut(agent) {
             for order in &orders {
@@ -119,44 +119,45 @@
                 token: live.token,
             })
             .collect();
-        let orphans = worker.orphans.iter().filter(|(_, sent)| is_due(**sent, now));
+        let orphans = worker.orphans.iter().filter(|(_, sent)| is_resend_due(**sent, now));
         stops.extend(orphans.map(|(id, _)| id.clone()));
-        stops.truncate(STOPS_AT_ONCE);
+        stops.truncate(MAX_STOPS_PER_ANSWER);
         if let Some(worker) = self.workers.by_agent_mut(agent) {
             for id in &stops {
-                note_stop_sent(worker, id, now);
+                record_stop_sent(worker, id, now);
             }
         }
         stops.into_iter().map(|attempt| StopOrder { attempt, checkpoint: false }).collect()
     }
 
-    fn is_start_due(&self, worker: &Worker, live: &Live, now: Time) -> bool {
-        let sent_before = match live.start_sent {
+    fn is_start_due(&self, worker: &Worker, live: &LiveAttempt, now: Time) -> bool {
+        let is_send_due = match live.start_sent {
             None => true,
             Some(sent) => {
-                worker.sequence > Some(sent.sequence) && now >= sent.at + REPEAT_START_AFTER
+                worker.sequence > Some(sent.sequence) && now >= sent.at + START_RESEND_INTERVAL
             }
         };
         // An order stays with its incarnation. Without this, an owner that has been replaced could
         // order what it had committed before from a new VM, whose agent knows of no successor.
-        live.meant_for == worker.incarnation
+        live.target == worker.incarnation
             && live.stage == Stage::Ordered
-            && live.stop_after.is_none()
-            && live.start_after <= self.committed
-            && sent_before
+            && live.stop_event.is_none()
+            && live.start_event <= self.committed
+            && is_send_due
     }
 
-    fn is_stop_due(&self, live: &Live, now: Time) -> bool {
-        live.stop_after.is_some_and(|after| after <= self.committed) && is_due(live.stop_sent, now)
+    fn is_stop_due(&self, live: &LiveAttempt, now: Time) -> bool {
+        live.stop_event.is_some_and(|after| after <= self.committed)
+            && is_resend_due(live.stop_sent, now)
     }
 
     /// Tells whether a reported result needs no repetition.
     fn is_acknowledged(&self, worker: &Worker, id: &AttemptId) -> bool {
-        worker.ending.get(id).is_none_or(|sequence| *sequence <= self.committed)
+        worker.uncommitted_ends.get(id).is_none_or(|sequence| *sequence <= self.committed)
     }
 }
 
-fn note_stop_sent(worker: &mut Worker, id: &AttemptId, now: Time) {
+fn record_stop_sent(worker: &mut Worker, id: &AttemptId, now: Time) {
     if let Some(sent) = worker.orphans.get_mut(id) {
         *sent = Some(now);
     } else if let Some(live) = worker.attempts.get_mut(&(id.job.clone(), id.task)) {
@@ -164,6 +165,6 @@
     }
 }
 
-fn is_due(sent: Option<Time>, now: Time) -> bool {
-    sent.is_none_or(|sent| now >= sent + REPEAT_AFTER)
+fn is_resend_due(sent: Option<Time>, now: Time) -> bool {
+    sent.is_none_or(|sent| now >= sent + STOP_RESEND_INTERVAL)
 }
--- a/crates/core/src/cell/attempts.rs
+++ b/crates/core/src/cell/attempts.rs
@@ -4,17 +4,17 @@
 
 use crate::cell::owner::{Cell, Effect};
 use crate::cell::state::{Event, Phase};
-use crate::cell::worker::{Live, Stage};
+use crate::cell::worker::{LiveAttempt, Stage};
 use crate::id::{AgentId, JobId, TaskIndex};
 use crate::message::report::{AttemptId, Outcome, Report, RunningTask, TaskResult};
 use crate::resources::Resources;
 use crate::time::{lease_wait, Time};
 
-const REASON_LIMIT: usize = 256;
+const MAX_REASON_CHARS: usize = 256;
 
 /// What became of a report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Received {
+pub enum ReportStatus {
     /// To be answered.
     Accepted,
     /// Overtaken by a newer report of the agent; changes nothing.
@@ -25,37 +25,37 @@
 
 impl Cell {
     /// Takes in a report.
-    pub fn report(&mut self, now: Time, report: &Report) -> Received {
+    pub fn report(&mut self, now: Time, report: &Report) -> ReportStatus {
         if report.epoch > self.state.epoch {
             self.stop();
         }
         if self.is_stopped() {
-            return Received::NotOwner;
+            return ReportStatus::NotOwner;
         }
         let slot = self.workers.insert(&report.agent, now);
-        let Some(worker) = self.workers.get_mut(slot) else { return Received::Stale };
+        let Some(worker) = self.workers.get_mut(slot) else { return ReportStatus::Stale };
         if worker.is_unverified(report.incarnation, report.echo) {
             worker.challenge(report.incarnation, self.rng.u64(1..));
-            return Received::Accepted;
+            return ReportStatus::Accepted;
         }
-        if worker.is_overtaken(report.incarnation, report.sequence) {
-            return Received::Stale;
+        if worker.is_stale(report.incarnation, report.sequence) {
+            return ReportStatus::Stale;
         }
-        worker.adopt(report.incarnation, report.sequence);
-        self.note_worker(now, slot, report);
+        worker.set_incarnation(report.incarnation, report.sequence);
+        self.update_worker(now, slot, report);
         for result in &report.results {
-            self.note_result(now, slot, result);
+            self.process_result(now, slot, result);
         }
-        self.note_running(slot, report);
+        self.reconcile_attempts(slot, report);
         if let Some(worker) = self.workers.get_mut(slot) {
             worker.update_available();
         }
         self.reindex(slot, now);
-        Received::Accepted
+        ReportStatus::Accepted
     }
 
-    fn note_worker(&mut self, now: Time, slot: usize, report: &Report) {
-        let confirms = report.epoch == self.state.epoch;
+    fn update_worker(&mut self, now: Time, slot: usize, report: &Report) {
+        let epoch_accepted = report.epoch == self.state.epoch;
         let wait = lease_wait(self.settings.lease);
         self.workers.set_rack(slot, &report.rack);
         let Some(worker) = self.workers.get_mut(slot) else { return };
@@ -67,20 +67,20 @@
         worker.pressure = report.pressure_percent;
         worker.last_report = Some(now);
         worker.results = report.results.iter().map(|result| result.attempt.clone()).collect();
-        let largest = worker.largest.max(&report.batch_capacity);
-        let grown = largest != worker.largest;
-        worker.largest = largest;
-        if worker.inherited && confirms {
+        let max_capacity = worker.max_capacity.max(&report.batch_capacity);
+        let grown = max_capacity != worker.max_capacity;
+        worker.max_capacity = max_capacity;
+        if worker.unfenced && epoch_accepted {
             // From here the agent rejects earlier owners. What they granted before runs out.
-            worker.inherited = false;
-            worker.expires = now + wait;
+            worker.unfenced = false;
+            worker.lease_expiry = now + wait;
         }
         if grown {
-            self.fits.clear();
+            self.fit_cache.clear();
         }
     }
 
-    fn note_result(&mut self, now: Time, slot: usize, result: &TaskResult) {
+    fn process_result(&mut self, now: Time, slot: usize, result: &TaskResult) {
         let id = &result.attempt;
         let agent = self.workers.get(slot).map(|worker| worker.agent.clone());
         let attempt = self.state.jobs.get(&id.job).and_then(|job| job.attempt(id));
@@ -89,43 +89,48 @@
         }
         match &result.outcome {
             Outcome::Completed => {
-                self.end(slot, Event::Completed { attempt: id.clone() }, id);
-                self.note_success(slot, &id.job);
+                self.end_attempt(slot, Event::Completed { attempt: id.clone() }, id);
+                self.record_success(slot, &id.job);
             }
             Outcome::Evicted { checkpoint } => {
                 let checkpoint = self.admit_checkpoint(checkpoint);
-                self.end(slot, Event::Evicted { attempt: id.clone(), checkpoint }, id);
+                self.end_attempt(slot, Event::Evicted { attempt: id.clone(), checkpoint }, id);
             }
             Outcome::Stopped { checkpoint } => {
                 let checkpoint = self.admit_checkpoint(checkpoint);
-                self.end(slot, Event::Requeued { attempt: id.clone(), checkpoint }, id);
+                self.end_attempt(slot, Event::Requeued { attempt: id.clone(), checkpoint }, id);
             }
             Outcome::Refused { .. } => {
-                self.end(slot, Event::Requeued { attempt: id.clone(), checkpoint: None }, id);
-                self.note_refusal(now, slot);
+                self.end_attempt(
+                    slot,
+                    Event::Requeued { attempt: id.clone(), checkpoint: None },
+                    id,
+                );
+                self.record_refusal(now, slot);
             }
             Outcome::Failed { reason } => {
-                let reason: String = reason.chars().take(REASON_LIMIT).collect();
+                let reason: String = reason.chars().take(MAX_REASON_CHARS).collect();
                 let counted = !self.is_quarantined(now, slot);
-                self.failed_at.insert(id.job.clone(), now);
+                self.last_failure.insert(id.job.clone(), now);
                 let suspect = self.state.jobs.get(&id.job).is_some_and(|job| job.is_suspect);
-                self.end(slot, Event::Failed { attempt: id.clone(), reason, counted }, id);
+                self.end_attempt(slot, Event::Failed { attempt: id.clone(), reason, counted }, id);
                 if !suspect {
-                    self.note_failure(now, slot, &id.job);
+                    self.record_failure(now, slot, &id.job);
                 }
             }
         }
     }
 
     /// Notes the usage of jobs. A throttled task shows less than it uses at full speed.
-    fn note_usage(&mut self, report: &Report) {
-        let full = |task: &&RunningTask| task.speed_percent == 100 && !task.measured.is_zero();
-        for task in report.running.iter().filter(full) {
+    fn record_usage(&mut self, report: &Report) {
+        let at_full_speed =
+            |task: &&RunningTask| task.speed_percent == 100 && !task.measured.is_zero();
+        for task in report.running.iter().filter(at_full_speed) {
             let id = &task.attempt.job;
-            match self.usage.get_mut(id) {
-                Some(usage) => *usage = usage.max(&task.measured),
+            match self.job_usage.get_mut(id) {
+                Some(job_usage) => *job_usage = job_usage.max(&task.measured),
                 None if self.state.jobs.get(id).is_some_and(|job| !job.phase.is_final()) => {
-                    self.usage.insert(id.clone(), task.measured);
+                    self.job_usage.insert(id.clone(), task.measured);
                 }
                 None => {}
             }
@@ -133,21 +138,21 @@
     }
 
     /// Compares the attempts that the agent holds with those that it should hold.
-    fn note_running(&mut self, slot: usize, report: &Report) {
-        let confirms = report.epoch == self.state.epoch;
-        let held: BTreeMap<&AttemptId, &Resources> =
+    fn reconcile_attempts(&mut self, slot: usize, report: &Report) {
+        let epoch_accepted = report.epoch == self.state.epoch;
+        let listed: BTreeMap<&AttemptId, &Resources> =
             report.running.iter().map(|task| (&task.attempt, &task.measured)).collect();
-        self.note_usage(report);
+        self.record_usage(report);
         let Some(worker) = self.workers.get_mut(slot) else { return };
         let mut gone = Vec::new();
         for ((job, task), live) in &mut worker.attempts {
             let id = AttemptId { job: job.clone(), task: *task, token: live.token };
-            live.seen = held.contains_key(&id);
-            live.measured = held.get(&id).map_or(Resources::default(), |measured| **measured);
-            live.expected = self.usage.get(job).copied().unwrap_or_default();
-            if live.seen {
+            live.reported = listed.contains_key(&id);
+            live.measured = listed.get(&id).map_or(Resources::default(), |measured| **measured);
+            live.expected_usage = self.job_usage.get(job).copied().unwrap_or_default();
+            if live.reported {
                 live.stage = Stage::Running;
-            } else if is_gone(live, report, confirms) {
+            } else if is_gone(live, report, epoch_accepted) {
                 gone.push(id);
             }
         }
@@ -157,50 +162,52 @@
             live.is_none_or(|live| live.token != id.token)
         };
         let orphans: Vec<AttemptId> =
-            held.keys().filter(|id| is_orphan(id)).map(|&id| id.clone()).collect();
-        worker.orphans.retain(|id, _| held.contains_key(id) && orphans.contains(id));
+            listed.keys().filter(|id| is_orphan(id)).map(|&id| id.clone()).collect();
+        worker.orphans.retain(|id, _| listed.contains_key(id) && orphans.contains(id));
         for id in orphans {
             worker.orphans.entry(id).or_insert(None);
         }
         for id in gone {
-            self.end(slot, Event::Requeued { attempt: id.clone(), checkpoint: None }, &id);
+            self.end_attempt(slot, Event::Requeued { attempt: id.clone(), checkpoint: None }, &id);
         }
     }
 
     /// Proposes the end of an attempt and takes it from its worker.
-    pub(super) fn end(&mut self, slot: usize, event: Event, id: &AttemptId) {
+    pub(super) fn end_attempt(&mut self, slot: usize, event: Event, id: &AttemptId) {
         let Some(job) = self.state.jobs.get(&id.job) else { return };
         let (team, need) = (job.spec.team.clone(), job.spec.need);
-        let was = job.phase;
+        let old_phase = job.phase;
         self.propose(event);
-        if let Some(used) = self.team_used.get_mut(&team) {
+        if let Some(used) = self.team_reserved.get_mut(&team) {
             *used = used.minus(&need);
         }
         let proposed = self.proposed;
         if let Some(worker) = self.workers.get_mut(slot) {
             worker.attempts.remove(&(id.job.clone(), id.task));
-            worker.ending.insert(id.clone(), proposed);
+            worker.uncommitted_ends.insert(id.clone(), proposed);
             worker.update_available();
             let wake = Effect::Wake(worker.agent.clone());
             let rack = worker.rack_number;
-            self.leave_rack(&id.job, rack);
+            self.decrement_rack_tasks(&id.job, rack);
             self.after_commit(wake);
         }
         self.reindex_available(slot);
         self.sync_job(&id.job);
-        self.stop_attempts(&id.job, was);
+        self.stop_attempts(&id.job, old_phase);
     }
 
-    fn leave_rack(&mut self, job: &JobId, rack: usize) {
-        if let Some(count) = self.racks.get_mut(job).and_then(|racks| racks.get_mut(&rack)) {
+    fn decrement_rack_tasks(&mut self, job: &JobId, rack: usize) {
+        if let Some(count) =
+            self.rack_tasks.get_mut(job).and_then(|rack_tasks| rack_tasks.get_mut(&rack))
+        {
             *count = count.saturating_sub(1);
         }
     }
 
     /// Orders the remaining attempts of a job to stop when it has just been given up.
-    pub(super) fn stop_attempts(&mut self, id: &JobId, was: Phase) {
+    pub(super) fn stop_attempts(&mut self, id: &JobId, old_phase: Phase) {
         let Some(job) = self.state.jobs.get(id) else { return };
-        if was != Phase::Active || !matches!(job.phase, Phase::Cancelling | Phase::Failing) {
+        if old_phase != Phase::Active || !matches!(job.phase, Phase::Cancelling | Phase::Failing) {
             return;
         }
         let attempts: Vec<(TaskIndex, AgentId)> =
@@ -212,24 +219,25 @@
             let Some(worker) = self.workers.get_mut(slot) else { continue };
             let Some(live) = worker.attempts.get_mut(&(id.clone(), task)) else { continue };
             match live {
-                Live { stage: Stage::Ordered, start_sent: None, token, .. } => {
+                LiveAttempt { stage: Stage::Ordered, start_sent: None, token, .. } => {
                     unsent.push((slot, AttemptId { job: id.clone(), task, token: *token }));
                 }
                 live => {
-                    live.stop_after = Some(proposed);
+                    live.stop_event = Some(proposed);
                     self.after_commit(Effect::Wake(agent));
                 }
             }
         }
         // An order that never left this process needs no confirmation.
         for (slot, id) in unsent {
-            self.end(slot, Event::Requeued { attempt: id.clone(), checkpoint: None }, &id);
+            self.end_attempt(slot, Event::Requeued { attempt: id.clone(), checkpoint: None }, &id);
         }
     }
 
     /// Requeues all attempts of a worker whose leases have run out.
-    pub(super) fn lose_expired(&mut self, slot: usize, now: Time) {
-        let Some(worker) = self.workers.get(slot).filter(|worker| now >= worker.expires) else {
+    pub(super) fn requeue_expired(&mut self, slot: usize, now: Time) {
+        let Some(worker) = self.workers.get(slot).filter(|worker| now >= worker.lease_expiry)
+        else {
             return;
         };
         let lost: Vec<AttemptId> = worker
@@ -242,16 +250,16 @@
             })
             .collect();
         for id in lost {
-            self.end(slot, Event::Requeued { attempt: id.clone(), checkpoint: None }, &id);
+            self.end_attempt(slot, Event::Requeued { attempt: id.clone(), checkpoint: None }, &id);
         }
     }
 }
 
 /// Tells whether an attempt that a report does not list has certainly ended.
-fn is_gone(live: &Live, report: &Report, confirms: bool) -> bool {
+fn is_gone(live: &LiveAttempt, report: &Report, epoch_accepted: bool) -> bool {
     // Before the agent has accepted this epoch, a delayed order of an earlier owner may start it.
     match live.stage {
-        _ if !confirms => false,
+        _ if !epoch_accepted => false,
         Stage::Running | Stage::Inherited => true,
         // An agent obeys only the answer to its newest report. Without a wish to stop it, the
         // attempt is ordered again. Another incarnation never gets the order, and has listed what
@@ -259,8 +267,8 @@
         Stage::Ordered => {
             let is_passed = live
                 .start_sent
-                .is_some_and(|sent| sent.sequence < report.sequence && live.stop_after.is_some());
-            live.meant_for != Some(report.incarnation) || is_passed
+                .is_some_and(|sent| sent.sequence < report.sequence && live.stop_event.is_some());
+            live.target != Some(report.incarnation) || is_passed
         }
     }
 }
--- a/crates/core/src/cell/jobs.rs
+++ b/crates/core/src/cell/jobs.rs
@@ -8,17 +8,17 @@
 use crate::id::{CellId, JobId, TeamId};
 
 /// Largest command. It travels in start orders and counts towards the state of the cell.
-pub const COMMAND_LIMIT: usize = 4 * 1024;
-pub const ID_LIMIT: usize = 128;
+pub const MAX_COMMAND_BYTES: usize = 4 * 1024;
+pub const MAX_JOB_ID_BYTES: usize = 128;
 /// Largest checkpoint that is kept. It names where the worker stored the data.
-pub const CHECKPOINT_LIMIT: usize = 1024;
+pub const MAX_CHECKPOINT_BYTES: usize = 1024;
 /// Estimated size of the state at which a cell takes no more jobs: the state has to fit a value
 /// of the store (1 MB).
-const STATE_LIMIT: usize = 800 * 1024;
+const MAX_STATE_BYTES_FOR_SUBMIT: usize = 800 * 1024;
 /// Estimated size of the state from which on no new checkpoints are kept.
-const CHECKPOINTS_LIMIT: usize = 900 * 1024;
+const MAX_STATE_BYTES_FOR_CHECKPOINT: usize = 900 * 1024;
 /// Jobs in one list, so that it fits a frame.
-const LIST_LIMIT: usize = 1_000;
+const MAX_LISTED_JOBS: usize = 1_000;
 
 /// Answer to a submit.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -66,22 +66,22 @@
     /// Submits a job.
     pub fn submit(&mut self, spec: JobSpec, ticket: Ticket) -> SubmitReply {
         if let Some(job) = self.state.jobs.get(&spec.id) {
-            if job.spec.team != spec.team || !job.is_same(&spec) {
+            if job.spec.team != spec.team || !job.matches_spec(&spec) {
                 return SubmitReply::Conflict;
             }
             self.after_commit(Effect::Durable(ticket));
             return SubmitReply::Existing;
         }
         let Some(limits) = &self.limits else { return SubmitReply::Full };
-        let problems = problems(limits, &spec);
-        if !problems.is_empty() {
-            return SubmitReply::Invalid(problems);
+        let validation_errors = validation_errors(limits, &spec);
+        if !validation_errors.is_empty() {
+            return SubmitReply::Invalid(validation_errors);
         }
         let size = spec.size();
-        if self.payload + size > STATE_LIMIT {
+        if self.state_size + size > MAX_STATE_BYTES_FOR_SUBMIT {
             return SubmitReply::Full;
         }
-        self.payload += size;
+        self.state_size += size;
         let urgent = limits.classes.get(&spec.class).is_some_and(|(_, urgent)| *urgent);
         let id = spec.id.clone();
         self.propose(Event::Submitted { spec, urgent });
@@ -100,7 +100,7 @@
                 CancelReply::Accepted
             }
             Phase::Active | Phase::Failing => {
-                self.cancels.push_back((id.to_owned(), ticket));
+                self.pending_cancels.push_back((id.to_owned(), ticket));
                 self.cancelling.insert(id.to_owned());
                 CancelReply::Accepted
             }
@@ -109,13 +109,13 @@
 
     /// Proposes the oldest cancellation that waits. Tells whether there was one.
     pub(super) fn propose_cancel(&mut self) -> bool {
-        let Some((id, ticket)) = self.cancels.pop_front() else { return false };
+        let Some((id, ticket)) = self.pending_cancels.pop_front() else { return false };
         self.cancelling.remove(&id);
-        if let Some(was) = self.state.jobs.get(&id).map(|job| job.phase) {
-            if was == Phase::Active {
+        if let Some(old_phase) = self.state.jobs.get(&id).map(|job| job.phase) {
+            if old_phase == Phase::Active {
                 self.propose(Event::CancelRequested { job: id.clone() });
                 self.sync_job(&id);
-                self.stop_attempts(&id, was);
+                self.stop_attempts(&id, old_phase);
             }
         }
         self.after_commit(Effect::Durable(ticket));
@@ -137,8 +137,8 @@
         let visible =
             self.state.jobs.values().filter(|job| team.is_none_or(|team| job.spec.team == team));
         let mut jobs: Vec<&Job> = visible.collect();
-        jobs.sort_by_key(|job| std::cmp::Reverse(job.order));
-        jobs.into_iter().take(LIST_LIMIT).map(|job| self.view(cell, job)).collect()
+        jobs.sort_by_key(|job| std::cmp::Reverse(job.submit_order));
+        jobs.into_iter().take(MAX_LISTED_JOBS).map(|job| self.view(cell, job)).collect()
     }
 
     fn view(&self, cell: &str, job: &Job) -> JobView {
@@ -160,7 +160,8 @@
 
     /// Returns the state in one word. An end is shown only once it is durable.
     fn state_name(&self, job: &Job) -> &'static str {
-        let is_durable = self.ending.get(&job.spec.id).is_none_or(|end| *end <= self.committed);
+        let is_durable =
+            self.uncommitted_ends.get(&job.spec.id).is_none_or(|end| *end <= self.committed);
         let is_cancelling = self.cancelling.contains(&job.spec.id);
         match job.phase {
             Phase::Cancelled if !is_durable => "cancelling",
@@ -177,41 +178,42 @@
     }
 
     /// Recomputes the estimated size of the state.
-    pub(super) fn measure(&mut self) {
-        self.payload = self.state.jobs.values().map(Job::size).sum();
+    pub(super) fn update_state_size(&mut self) {
+        self.state_size = self.state.jobs.values().map(Job::size).sum();
     }
 
     /// Returns the checkpoint if there is room for it; otherwise the task resumes from the one
     /// before.
     pub(super) fn admit_checkpoint(&mut self, checkpoint: &Option<Bytes>) -> Option<Bytes> {
-        let checkpoint = checkpoint.as_ref().filter(|bytes| bytes.len() <= CHECKPOINT_LIMIT)?;
-        if self.payload + checkpoint.len() > CHECKPOINTS_LIMIT {
+        let checkpoint = checkpoint.as_ref().filter(|bytes| bytes.len() <= MAX_CHECKPOINT_BYTES)?;
+        if self.state_size + checkpoint.len() > MAX_STATE_BYTES_FOR_CHECKPOINT {
             return None;
         }
-        self.payload += checkpoint.len();
+        self.state_size += checkpoint.len();
         Some(checkpoint.clone())
     }
 }
 
-fn problems(limits: &Limits, spec: &JobSpec) -> Vec<(&'static str, String)> {
-    let mut problems = Vec::new();
-    if spec.id.is_empty() || spec.id.len() > ID_LIMIT || spec.id.contains('/') {
-        problems.push(("id", format!("must have 1 to {ID_LIMIT} bytes and no slash")));
+fn validation_errors(limits: &Limits, spec: &JobSpec) -> Vec<(&'static str, String)> {
+    let mut validation_errors = Vec::new();
+    if spec.id.is_empty() || spec.id.len() > MAX_JOB_ID_BYTES || spec.id.contains('/') {
+        validation_errors
+            .push(("id", format!("must have 1 to {MAX_JOB_ID_BYTES} bytes and no slash")));
     }
     if spec.tasks == 0 {
-        problems.push(("tasks", "must be at least 1".to_owned()));
+        validation_errors.push(("tasks", "must be at least 1".to_owned()));
     }
     if spec.need.is_zero() {
-        problems.push(("need", "must not be zero".to_owned()));
+        validation_errors.push(("need", "must not be zero".to_owned()));
     }
-    if spec.command.len() > COMMAND_LIMIT {
-        problems.push(("command", format!("must have at most {COMMAND_LIMIT} bytes")));
+    if spec.command.len() > MAX_COMMAND_BYTES {
+        validation_errors.push(("command", format!("must have at most {MAX_COMMAND_BYTES} bytes")));
     }
     if !limits.teams.contains_key(&spec.team) {
-        problems.push(("team", format!("unknown team {}", spec.team)));
+        validation_errors.push(("team", format!("unknown team {}", spec.team)));
     }
     if !limits.classes.contains_key(&spec.class) {
-        problems.push(("class", format!("unknown class {}", spec.class)));
+        validation_errors.push(("class", format!("unknown class {}", spec.class)));
     }
-    problems
+    validation_errors
 }
--- a/crates/core/src/cell/owner.rs
+++ b/crates/core/src/cell/owner.rs
@@ -8,7 +8,7 @@
 use crate::cell::placement::Index;
 use crate::cell::queue::Queue;
 use crate::cell::state::{CellState, Event};
-use crate::cell::worker::{Live, Stage, WorkerView, Workers};
+use crate::cell::worker::{LiveAttempt, Stage, WorkerView, Workers};
 use crate::config::Document;
 use crate::id::{AgentId, Epoch, JobId, TeamId};
 use crate::resources::Resources;
@@ -19,11 +19,11 @@
 
 /// Largest estimated size of the events of one batch. Keeps a write short while a burst of 10,000
 /// cancellations takes about four batches.
-const BATCH_LIMIT: usize = 64 * 1024;
+const MAX_BATCH_BYTES: usize = 64 * 1024;
 /// Time between two checks for expired leases; small against the margin of a lease.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 /// A worker without attempts that was silent for this long is forgotten.
-pub(super) const FORGET_AFTER: Duration = Duration::from_secs(600);
+pub(super) const FORGET_WORKER_AFTER: Duration = Duration::from_secs(600);
 
 /// Time limits of a cell.
 #[derive(Debug, Clone, Copy)]
@@ -34,7 +34,7 @@
     pub outage_hold: Duration,
     /// Time after a takeover in which workers may still be unknown, so that nothing is declared
     /// unrunnable.
-    pub settle: Duration,
+    pub discovery_period: Duration,
     /// Time without a report after which a worker gets no new work.
     pub silent: Duration,
 }
@@ -44,7 +44,7 @@
         CellSettings {
             lease: Duration::from_secs(20),
             outage_hold: Duration::from_secs(600),
-            settle: Duration::from_secs(5),
+            discovery_period: Duration::from_secs(5),
             silent: Duration::from_secs(3),
         }
     }
@@ -99,27 +99,27 @@
     pub(super) committed: u64,
     effects: VecDeque<(u64, Effect)>,
     /// Cancellations that wait for room in a batch.
-    pub(super) cancels: VecDeque<(JobId, Ticket)>,
+    pub(super) pending_cancels: VecDeque<(JobId, Ticket)>,
     pub(super) cancelling: BTreeSet<JobId>,
     /// Jobs that ended by events not committed yet.
-    pub(super) ending: BTreeMap<JobId, u64>,
-    pub(super) team_used: BTreeMap<TeamId, Resources>,
+    pub(super) uncommitted_ends: BTreeMap<JobId, u64>,
+    pub(super) team_reserved: BTreeMap<TeamId, Resources>,
     /// Running tasks of each urgent job by rack.
-    pub(super) racks: BTreeMap<JobId, BTreeMap<usize, u32>>,
+    pub(super) rack_tasks: BTreeMap<JobId, BTreeMap<usize, u32>>,
     /// Largest usage at full speed of the tasks of each job that has not ended.
-    pub(super) usage: BTreeMap<JobId, Resources>,
+    pub(super) job_usage: BTreeMap<JobId, Resources>,
     /// Last failure of each job that has not ended.
-    pub(super) failed_at: BTreeMap<JobId, Time>,
+    pub(super) last_failure: BTreeMap<JobId, Time>,
     /// Whether a need fits some known worker when that is empty.
-    pub(super) fits: HashMap<(u64, u64, u64), bool>,
+    pub(super) fit_cache: HashMap<(u64, u64, u64), bool>,
     /// Estimated size of the state in bytes.
-    pub(super) payload: usize,
-    pub(super) taken_over: Time,
+    pub(super) state_size: usize,
+    pub(super) takeover_at: Time,
     /// Start of the last exchange with the store that showed it to be the owner.
-    store_seen: Time,
+    store_contact: Time,
     stopped: bool,
     next_sweep: Time,
-    pub(super) recovery: f64,
+    pub(super) requeue_budget: f64,
     pub(super) last_pass: Time,
     pub(super) rng: Rng,
 }
@@ -148,52 +148,52 @@
             proposed: 0,
             committed: 0,
             effects: VecDeque::new(),
-            cancels: VecDeque::new(),
+            pending_cancels: VecDeque::new(),
             cancelling: BTreeSet::new(),
-            ending: BTreeMap::new(),
-            team_used: BTreeMap::new(),
-            racks: BTreeMap::new(),
-            usage: BTreeMap::new(),
-            failed_at: BTreeMap::new(),
-            fits: HashMap::new(),
-            payload: 0,
-            taken_over: now,
-            store_seen: now,
+            uncommitted_ends: BTreeMap::new(),
+            team_reserved: BTreeMap::new(),
+            rack_tasks: BTreeMap::new(),
+            job_usage: BTreeMap::new(),
+            last_failure: BTreeMap::new(),
+            fit_cache: HashMap::new(),
+            state_size: 0,
+            takeover_at: now,
+            store_contact: now,
             stopped: false,
             next_sweep: now,
-            recovery: 0.0,
+            requeue_budget: 0.0,
             last_pass: now,
             rng,
         };
         cell.propose(Event::TakenOver { epoch });
-        cell.inherit(now);
-        cell.measure();
+        cell.rebuild_volatile(now);
+        cell.update_state_size();
         cell
     }
 
     /// Rebuilds the volatile part from the replayed state.
-    fn inherit(&mut self, now: Time) {
-        let expires = now + self.inherited_wait();
+    fn rebuild_volatile(&mut self, now: Time) {
+        let lease_expiry = now + self.inherited_lease_wait();
         for job in self.state.jobs.values() {
             self.queue.sync(job);
-            let stop_after = (job.phase != crate::cell::state::Phase::Active).then_some(0);
+            let stop_event = (job.phase != crate::cell::state::Phase::Active).then_some(0);
             for (task, attempt) in &job.attempts {
-                let slot = self.workers.insert(&attempt.agent, expires);
-                let live = Live {
+                let slot = self.workers.insert(&attempt.agent, lease_expiry);
+                let live = LiveAttempt {
                     token: attempt.token,
                     need: job.spec.need,
                     measured: Resources::default(),
-                    expected: Resources::default(),
-                    class: number(&mut self.class_numbers, &job.spec.class),
+                    expected_usage: Resources::default(),
+                    class: intern_class(&mut self.class_numbers, &job.spec.class),
                     stage: Stage::Inherited,
-                    meant_for: None,
-                    start_after: 0,
+                    target: None,
+                    start_event: 0,
                     start_sent: None,
-                    stop_after,
+                    stop_event,
                     stop_sent: None,
-                    seen: false,
+                    reported: false,
                 };
-                let used = self.team_used.entry(job.spec.team.clone()).or_default();
+                let used = self.team_reserved.entry(job.spec.team.clone()).or_default();
                 *used = used.plus(&job.spec.need);
                 if let Some(worker) = self.workers.get_mut(slot) {
                     worker.attempts.insert((job.spec.id.clone(), *task), live);
@@ -203,9 +203,9 @@
     }
 
     /// Time after a takeover at which the leases granted by earlier owners have run out.
-    fn inherited_wait(&self) -> Duration {
+    fn inherited_lease_wait(&self) -> Duration {
         let wait = lease_wait(self.settings.lease);
-        match self.state.inherited_clean {
+        match self.state.predecessor_clean {
             true => wait,
             false => {
                 let hold = self.settings.outage_hold;
@@ -218,7 +218,7 @@
     pub fn set_limits(&mut self, limits: Limits) {
         self.class_limits.fill(None);
         for (class, (limit, _)) in &limits.classes {
-            let number = number(&mut self.class_numbers, class);
+            let number = intern_class(&mut self.class_numbers, class);
             self.class_limits.resize(self.class_numbers.len(), None);
             self.class_limits[number] = Some(*limit);
         }
@@ -237,8 +237,8 @@
     }
 
     /// Notes that an exchange with the store that started at `start` showed it to be the owner.
-    pub fn note_store(&mut self, start: Time) {
-        self.store_seen = self.store_seen.max(start);
+    pub fn record_store_contact(&mut self, start: Time) {
+        self.store_contact = self.store_contact.max(start);
     }
 
     /// Stops for good: another entry owns the cell, or the cell was handed back.
@@ -250,7 +250,7 @@
     pub fn release(&mut self) {
         self.stopped = true;
         let clean =
-            self.workers.iter().all(|(_, worker)| !worker.inherited || worker.attempts.is_empty());
+            self.workers.iter().all(|(_, worker)| !worker.unfenced || worker.attempts.is_empty());
         self.propose(Event::Released { epoch: self.state.epoch, clean });
     }
 
@@ -278,30 +278,30 @@
 
     fn fill_batch(&mut self) -> usize {
         let mut count = 0;
-        let mut room = BATCH_LIMIT;
+        let mut remaining_bytes = MAX_BATCH_BYTES;
         loop {
             while let Some(event) = self.pending.get(count) {
                 let size = event.size();
-                if size > room && count > 0 {
+                if size > remaining_bytes && count > 0 {
                     return count;
                 }
-                room = room.saturating_sub(size);
+                remaining_bytes = remaining_bytes.saturating_sub(size);
                 count += 1;
             }
             // Cancellations arrive in bursts: they get the room that other events leave.
-            if self.stopped || room == 0 || !self.propose_cancel() {
+            if self.stopped || remaining_bytes == 0 || !self.propose_cancel() {
                 return count;
             }
         }
     }
 
     /// Notes that the batch is durable.
-    pub fn note_commit(&mut self) {
+    pub fn confirm_commit(&mut self) {
         self.pending.drain(..self.in_flight);
         self.committed += self.in_flight as u64;
         self.in_flight = 0;
         let committed = self.committed;
-        self.ending.retain(|_, sequence| *sequence > committed);
+        self.uncommitted_ends.retain(|_, sequence| *sequence > committed);
     }
 
     /// Returns the effects that have become due.
@@ -328,17 +328,17 @@
         if let Some(job) = self.state.jobs.get(id) {
             self.queue.sync(job);
             if job.phase.is_final() {
-                self.ending.entry(id.clone()).or_insert(self.proposed);
-                self.racks.remove(id);
-                self.usage.remove(id);
-                self.failed_at.remove(id);
+                self.uncommitted_ends.entry(id.clone()).or_insert(self.proposed);
+                self.rack_tasks.remove(id);
+                self.job_usage.remove(id);
+                self.last_failure.remove(id);
             }
         }
     }
 
     /// Tells whether this owner may grant leases and starts.
     pub fn may_grant(&self, now: Time) -> bool {
-        !self.stopped && now.saturating_sub(self.store_seen) < self.settings.outage_hold
+        !self.stopped && now.saturating_sub(self.store_contact) < self.settings.outage_hold
     }
 
     /// Tells whether this owner has stopped for good.
@@ -348,11 +348,11 @@
 
     /// Tells whether events or cancellations wait for a commit.
     pub fn has_uncommitted(&self) -> bool {
-        !self.pending.is_empty() || !self.cancels.is_empty()
+        !self.pending.is_empty() || !self.pending_cancels.is_empty()
     }
 
     /// Tells whether proposed events wait for a commit.
-    pub fn has_unwritten(&self) -> bool {
+    pub fn has_pending_events(&self) -> bool {
         !self.pending.is_empty()
     }
 
@@ -378,33 +378,33 @@
 
     /// Requeues attempts whose lease has run out and forgets workers that are gone.
     fn sweep(&mut self, now: Time) {
-        self.measure();
+        self.update_state_size();
         let mut expired = Vec::new();
         let mut gone = Vec::new();
         for (slot, worker) in self.workers.iter() {
-            let silence = now.saturating_sub(worker.last_report.unwrap_or(self.taken_over));
-            if now >= worker.expires && !worker.attempts.is_empty() {
+            let silence = now.saturating_sub(worker.last_report.unwrap_or(self.takeover_at));
+            if now >= worker.lease_expiry && !worker.attempts.is_empty() {
                 expired.push(slot);
-            } else if silence > FORGET_AFTER && worker.is_settled(self.committed) {
+            } else if silence > FORGET_WORKER_AFTER && worker.is_removable(self.committed) {
                 gone.push(slot);
             } else if silence > self.settings.silent {
-                expired.extend(worker.indexed.map(|_| slot));
+                expired.extend(worker.index_key.map(|_| slot));
             }
         }
         for slot in expired {
             self.unindex(slot);
-            self.lose_expired(slot, now);
+            self.requeue_expired(slot, now);
         }
         for slot in gone {
             self.unindex(slot);
             self.workers.remove(slot);
-            self.fits.clear();
+            self.fit_cache.clear();
         }
     }
 }
 
 /// Returns the number of a class, and adds the class if it is new.
-fn number(numbers: &mut BTreeMap<String, usize>, class: &str) -> usize {
+fn intern_class(numbers: &mut BTreeMap<String, usize>, class: &str) -> usize {
     if let Some(number) = numbers.get(class) {
         return *number;
     }
--- a/crates/core/src/cell/placement.rs
+++ b/crates/core/src/cell/placement.rs
@@ -3,10 +3,10 @@
 use std::collections::{BTreeSet, HashSet};
 use std::time::Duration;
 
-use crate::cell::owner::{Cell, Effect, FORGET_AFTER};
+use crate::cell::owner::{Cell, Effect, FORGET_WORKER_AFTER};
 use crate::cell::queue::Lane;
 use crate::cell::state::{Event, Job};
-use crate::cell::worker::{Live, Stage, Worker};
+use crate::cell::worker::{LiveAttempt, Stage, Worker};
 use crate::id::{JobId, TaskIndex};
 use crate::message::report::AttemptId;
 use crate::resources::Resources;
@@ -14,25 +14,25 @@
 
 /// Starts from requeued work are refilled at this rate and saved up to [`RECOVERY_BURST`], so that
 /// any second has at most 200.
-const RECOVERY_RATE: f64 = 180.0;
-const RECOVERY_BURST: f64 = 20.0;
+const REQUEUED_STARTS_PER_S: f64 = 180.0;
+const REQUEUED_START_BURST: f64 = 20.0;
 /// Time between two passes over the queue.
 const PASS_INTERVAL: Duration = Duration::from_millis(20);
 /// Starts in one pass.
-const PASS_STARTS: usize = 256;
+const MAX_STARTS_PER_PASS: usize = 256;
 /// Workers examined and workers compared in one decision; the cost stays constant as cells grow.
-const EXAMINED: usize = 48;
-const COMPARED: usize = 12;
+const MAX_EXAMINED_WORKERS: usize = 48;
+const MAX_COMPARED_WORKERS: usize = 12;
 /// Random places in the index that are examined to find other racks.
-const PROBES: usize = 8;
+const RANDOM_PROBES: usize = 8;
 /// Pressure is compared in steps, so that its noise does not override the best fit.
-const PRESSURE_STEP: u32 = 20;
+const PRESSURE_STEP_PERCENT: u32 = 20;
 
 /// Time after a takeover within which other workers are expected to report.
-const LAST_RESORT: Duration = Duration::from_secs(60);
+const RETRY_DELAY_AFTER_TAKEOVER: Duration = Duration::from_secs(60);
 /// Pause of a job before it is tried on a worker on which it failed before; doubles.
-const RETRY_PAUSE: Duration = Duration::from_secs(1);
-const LONGEST_RETRY_PAUSE: Duration = Duration::from_secs(60);
+const BASE_RETRY_BACKOFF: Duration = Duration::from_secs(1);
+const MAX_RETRY_BACKOFF: Duration = Duration::from_secs(60);
 
 /// Workers that may get work, ordered by the CPU that is available to urgent work.
 #[derive(Debug, Clone, Default)]
@@ -42,7 +42,7 @@
 }
 
 impl Index {
-    fn of(&self, need: &Resources) -> &BTreeSet<(u64, usize)> {
+    fn for_need(&self, need: &Resources) -> &BTreeSet<(u64, usize)> {
         match need.accelerators {
             0 => &self.all,
             _ => &self.accelerated,
@@ -51,18 +51,18 @@
 }
 
 /// Which workers a job accepts.
-struct Wish<'a> {
+struct WorkerFilter<'a> {
     job: &'a Job,
     /// Only workers on which other jobs succeeded.
-    proven: bool,
+    proven_only: bool,
     /// Also workers on which the job failed.
-    anywhere: bool,
+    allow_failed: bool,
 }
 
 /// Why a task cannot start now.
 enum Blocked {
     /// No worker has room now, whatever the job.
-    Room,
+    Capacity,
     /// A limit of the job or its team.
     Job,
     Unrunnable(String),
@@ -76,19 +76,25 @@
             return;
         }
         self.last_pass = now;
-        let refilled = self.recovery + elapsed.as_secs_f64() * RECOVERY_RATE;
-        self.recovery = refilled.min(RECOVERY_BURST);
+        let refilled = self.requeue_budget + elapsed.as_secs_f64() * REQUEUED_STARTS_PER_S;
+        self.requeue_budget = refilled.min(REQUEUED_START_BURST);
         if self.queue.is_empty() {
             return;
         }
         let mut starts = 0;
-        let mut full = HashSet::new();
+        let mut without_capacity = HashSet::new();
         for lane in Lane::ALL {
             for id in self.queue.candidates(lane) {
-                if starts >= PASS_STARTS {
+                if starts >= MAX_STARTS_PER_PASS {
                     return;
                 }
-                starts += self.place_job(now, lane, &id, PASS_STARTS - starts, &mut full);
+                starts += self.place_job(
+                    now,
+                    lane,
+                    &id,
+                    MAX_STARTS_PER_PASS - starts,
+                    &mut without_capacity,
+                );
             }
         }
     }
@@ -100,31 +106,31 @@
         lane: Lane,
         id: &JobId,
         limit: usize,
-        full: &mut HashSet<(usize, Resources)>,
+        without_capacity: &mut HashSet<(usize, Resources)>,
     ) -> usize {
         let mut starts = 0;
         while starts < limit && !self.cancelling.contains(id) {
-            if lane.is_requeued() && self.recovery < 1.0 {
+            if lane.is_requeued() && self.requeue_budget < 1.0 {
                 break;
             }
             let Some(job) = self.state.jobs.get(id) else { break };
             let Some(task) = next_task(job, lane) else { break };
             let Some(class) = self.class_number(&job.spec.class) else { break };
-            let shape = (class, job.spec.need);
-            let is_free_to_choose = job.failed_on.is_empty();
-            if is_free_to_choose && full.contains(&shape) {
+            let class_need = (class, job.spec.need);
+            let is_unrestricted = job.failed_on.is_empty();
+            if is_unrestricted && without_capacity.contains(&class_need) {
                 break;
             }
-            match self.choose(now, id) {
+            match self.choose_worker(now, id) {
                 Ok(slot) => {
                     self.start(id, task, slot);
                     starts += 1;
                     if lane.is_requeued() {
-                        self.recovery -= 1.0;
+                        self.requeue_budget -= 1.0;
                     }
                 }
-                Err(Blocked::Room) if is_free_to_choose => {
-                    full.insert(shape);
+                Err(Blocked::Capacity) if is_unrestricted => {
+                    without_capacity.insert(class_need);
                     break;
                 }
                 Err(Blocked::Unrunnable(reason)) => {
@@ -132,28 +138,28 @@
                     self.sync_job(id);
                     break;
                 }
-                Err(Blocked::Room | Blocked::Job) => break,
+                Err(Blocked::Capacity | Blocked::Job) => break,
             }
         }
         starts
     }
 
-    fn choose(&mut self, now: Time, id: &JobId) -> Result<usize, Blocked> {
+    fn choose_worker(&mut self, now: Time, id: &JobId) -> Result<usize, Blocked> {
         let job = self.state.jobs.get(id).ok_or(Blocked::Job)?;
         let need = job.spec.need;
         self.check_limits(job)?;
         if !self.fits_some_worker(now, need) {
             let job = self.state.jobs.get(id).ok_or(Blocked::Job)?;
-            return Err(match job.attempts.is_empty() && self.is_settled(now) {
+            return Err(match job.attempts.is_empty() && self.has_discovered_workers(now) {
                 true => Blocked::Unrunnable("a task fits no worker of the cell".to_owned()),
                 false => Blocked::Job,
             });
         }
         let mut rng = self.rng.clone();
         let job = self.state.jobs.get(id).ok_or(Blocked::Job)?;
-        let slot = self.search(now, &self.wish(now, job), &mut rng);
+        let slot = self.find_worker(now, &self.worker_filter(now, job), &mut rng);
         self.rng = rng;
-        slot.ok_or(Blocked::Room)
+        slot.ok_or(Blocked::Capacity)
     }
 
     fn check_limits(&self, job: &Job) -> Result<(), Blocked> {
@@ -173,7 +179,7 @@
         if !need.fits_in(limit) {
             return blocked(format!("a task exceeds the limit of class {}", job.spec.class));
         }
-        let used = self.team_used.get(&job.spec.team).copied().unwrap_or_default();
+        let used = self.team_reserved.get(&job.spec.team).copied().unwrap_or_default();
         match used.plus(need).fits_in(quota) {
             true => Ok(()),
             false => Err(Blocked::Job),
@@ -181,53 +187,59 @@
     }
 
     /// Tells whether the workers of the cell are known.
-    fn is_settled(&self, now: Time) -> bool {
-        now >= self.taken_over + self.settings.settle
+    fn has_discovered_workers(&self, now: Time) -> bool {
+        now >= self.takeover_at + self.settings.discovery_period
             && self.workers.iter().any(|(_, worker)| worker.last_report.is_some())
     }
 
     fn fits_some_worker(&mut self, now: Time, need: Resources) -> bool {
-        if !self.is_settled(now) {
+        if !self.has_discovered_workers(now) {
             return true;
         }
         let workers = &self.workers;
-        let search = || workers.iter().any(|(_, worker)| need.fits_in(&worker.largest));
-        *self.fits.entry(shape(&need)).or_insert_with(search)
+        let fits_any = || workers.iter().any(|(_, worker)| need.fits_in(&worker.max_capacity));
+        *self.fit_cache.entry(need_key(&need)).or_insert_with(fits_any)
     }
 
     /// Decides which workers to accept. A job that failed goes to a worker on which others
     /// succeeded; only without such a worker in the cell, to another one on which it has not
     /// failed, for which it waits while that one is silent; only without those, anywhere, and then
     /// at growing intervals.
-    fn wish<'a>(&self, now: Time, job: &'a Job) -> Wish<'a> {
-        let undecided = Wish { job, proven: true, anywhere: false };
-        let elsewhere = Wish { job, proven: false, anywhere: false };
+    fn worker_filter<'a>(&self, now: Time, job: &'a Job) -> WorkerFilter<'a> {
+        let proven_workers = WorkerFilter { job, proven_only: true, allow_failed: false };
+        let untried_workers = WorkerFilter { job, proven_only: false, allow_failed: false };
         if job.failed_on.is_empty() {
-            return elsewhere;
+            return untried_workers;
         }
         let need = &job.spec.need;
         let mut workers = self.workers.iter().map(|(_, worker)| worker);
         if workers.any(|worker| {
             self.is_usable(now, worker)
                 && need.fits_in(&worker.capacity)
-                && accepts(&undecided, worker)
+                && accepts(&proven_workers, worker)
         }) {
-            return undecided;
+            return proven_workers;
         }
         let mut workers = self.workers.iter().map(|(_, worker)| worker);
-        let exists_elsewhere = workers.any(|worker| {
-            is_known(now, worker) && need.fits_in(&worker.largest) && accepts(&elsewhere, worker)
+        let has_untried = workers.any(|worker| {
+            may_return(now, worker)
+                && need.fits_in(&worker.max_capacity)
+                && accepts(&untried_workers, worker)
         });
-        Wish { anywhere: !exists_elsewhere && self.is_last_resort(now, job), ..elsewhere }
+        WorkerFilter {
+            allow_failed: !has_untried && self.is_retry_due(now, job),
+            ..untried_workers
+        }
     }
 
     /// Tells whether a job that failed on all known workers may be tried on one of them again. A
     /// new owner may not have heard of the others yet.
-    fn is_last_resort(&self, now: Time, job: &Job) -> bool {
+    fn is_retry_due(&self, now: Time, job: &Job) -> bool {
         let failures = job.requeued.values().map(|resume| resume.failures).max().unwrap_or(0);
-        let pause = RETRY_PAUSE * 2u32.saturating_pow(failures.min(10));
-        let last = self.failed_at.get(&job.spec.id).copied().unwrap_or_default();
-        now >= self.taken_over + LAST_RESORT && now >= last + pause.min(LONGEST_RETRY_PAUSE)
+        let backoff = BASE_RETRY_BACKOFF * 2u32.saturating_pow(failures.min(10));
+        let last = self.last_failure.get(&job.spec.id).copied().unwrap_or_default();
+        now >= self.takeover_at + RETRY_DELAY_AFTER_TAKEOVER
+            && now >= last + backoff.min(MAX_RETRY_BACKOFF)
     }
 
     fn is_usable(&self, now: Time, worker: &Worker) -> bool {
@@ -236,43 +248,52 @@
             && worker.epoch == self.state.epoch
             && silence.is_some_and(|silence| silence <= self.settings.silent)
             && !worker.is_quarantined(now)
-            && now >= worker.avoid_until
+            && now >= worker.backoff_until
     }
 
-    fn search(&self, now: Time, wish: &Wish, rng: &mut fastrand::Rng) -> Option<usize> {
-        let need = &wish.job.spec.need;
-        let index = self.index.of(need);
-        let class = self.class_number(&wish.job.spec.class)?;
-        let expected = self.expected(wish.job, class);
-        let keeps_share = self.has_urgent_class();
-        let suits = |slot: usize| {
+    fn find_worker(
+        &self,
+        now: Time,
+        worker_filter: &WorkerFilter,
+        rng: &mut fastrand::Rng,
+    ) -> Option<usize> {
+        let need = &worker_filter.job.spec.need;
+        let index = self.index.for_need(need);
+        let class = self.class_number(&worker_filter.job.spec.class)?;
+        let expected_usage = self.expected_usage(worker_filter.job, class);
+        let keep_share = self.has_urgent_class();
+        let is_suitable = |slot: usize| {
             self.workers.get(slot).is_some_and(|worker| {
                 // An idle worker takes a task whatever it is expected to use.
-                let need = if worker.attempts.is_empty() { need } else { &expected };
-                need.fits_in(&worker.room(wish.job.urgent, keeps_share))
-                    && worker.has_class_room(&self.class_limits, class, need)
+                let need = if worker.attempts.is_empty() { need } else { &expected_usage };
+                need.fits_in(&worker.available_for(worker_filter.job.urgent, keep_share))
+                    && worker.fits_class_limits(&self.class_limits, class, need)
                     && self.is_usable(now, worker)
-                    && accepts(wish, worker)
+                    && accepts(worker_filter, worker)
             })
         };
         let nearest = index.range((need.cpu_milli, 0)..).map(|(_, slot)| *slot);
-        let mut found: Vec<usize> =
-            nearest.clone().take(EXAMINED).filter(|slot| suits(*slot)).take(COMPARED).collect();
-        if wish.job.urgent || found.is_empty() {
-            self.probe(index, need.cpu_milli, rng, &mut found, &suits);
+        let mut found: Vec<usize> = nearest
+            .clone()
+            .take(MAX_EXAMINED_WORKERS)
+            .filter(|slot| is_suitable(*slot))
+            .take(MAX_COMPARED_WORKERS)
+            .collect();
+        if worker_filter.job.urgent || found.is_empty() {
+            self.probe(index, need.cpu_milli, rng, &mut found, &is_suitable);
         }
         if found.is_empty() {
-            found.extend(nearest.skip(EXAMINED).find(|slot| suits(*slot)));
+            found.extend(nearest.skip(MAX_EXAMINED_WORKERS).find(|slot| is_suitable(*slot)));
         }
-        found.into_iter().min_by_key(|slot| self.rank(*slot, wish.job))
+        found.into_iter().min_by_key(|slot| self.rank(*slot, worker_filter.job))
     }
 
     /// Returns what a task is expected to use: of urgent work what it declares, so that a wrong
     /// usage does not delay it; otherwise at most the class limit, which no worker exceeds.
-    fn expected(&self, job: &Job, class: usize) -> Resources {
+    fn expected_usage(&self, job: &Job, class: usize) -> Resources {
         let need = job.spec.need;
-        match (self.usage.get(&job.spec.id), self.class_limits.get(class)) {
-            (Some(usage), Some(Some(limit))) if !job.urgent => need.max(&usage.min(limit)),
+        match (self.job_usage.get(&job.spec.id), self.class_limits.get(class)) {
+            (Some(job_usage), Some(Some(limit))) if !job.urgent => need.max(&job_usage.min(limit)),
             _ => need,
         }
     }
@@ -284,13 +305,13 @@
         from: u64,
         rng: &mut fastrand::Rng,
         found: &mut Vec<usize>,
-        suits: &impl Fn(usize) -> bool,
+        is_suitable: &impl Fn(usize) -> bool,
     ) {
         let to = index.last().map_or(from, |(cpu, _)| *cpu).max(from);
-        for _ in 0..PROBES {
+        for _ in 0..RANDOM_PROBES {
             let start = (rng.u64(from..=to), rng.usize(0..=self.workers.slots()));
             let slot = index.range(start..).next().map(|(_, slot)| *slot);
-            found.extend(slot.filter(|slot| suits(*slot)));
+            found.extend(slot.filter(|slot| is_suitable(*slot)));
         }
     }
 
@@ -299,11 +320,24 @@
         let Some(worker) = self.workers.get(slot) else {
             return (usize::MAX, u32::MAX, u32::MAX, true, u64::MAX, slot);
         };
-        let racks = self.racks.get(&job.spec.id);
-        let tasks = racks.and_then(|racks| racks.get(&worker.rack_number)).copied().unwrap_or(0);
-        let left = worker.room(job.urgent, false).cpu_milli.saturating_sub(job.spec.need.cpu_milli);
-        let pressure = worker.pressure / PRESSURE_STEP;
-        (worker.failed_jobs.len(), tasks, pressure, worker.succeeded.is_empty(), left, slot)
+        let rack_tasks = self.rack_tasks.get(&job.spec.id);
+        let tasks = rack_tasks
+            .and_then(|rack_tasks| rack_tasks.get(&worker.rack_number))
+            .copied()
+            .unwrap_or(0);
+        let remaining_cpu = worker
+            .available_for(job.urgent, false)
+            .cpu_milli
+            .saturating_sub(job.spec.need.cpu_milli);
+        let pressure = worker.pressure / PRESSURE_STEP_PERCENT;
+        (
+            worker.failed_jobs.len(),
+            tasks,
+            pressure,
+            worker.succeeded_jobs.is_empty(),
+            remaining_cpu,
+            slot,
+        )
     }
 
     fn start(&mut self, id: &JobId, task: TaskIndex, slot: usize) {
@@ -314,29 +348,29 @@
         let Some(job) = self.state.jobs.get(id) else { return };
         let Some(class) = self.class_number(&job.spec.class) else { return };
         let (need, urgent) = (job.spec.need, job.urgent);
-        let used = self.team_used.entry(job.spec.team.clone()).or_default();
+        let used = self.team_reserved.entry(job.spec.team.clone()).or_default();
         *used = used.plus(&need);
-        let start_after = self.proposed;
+        let start_event = self.proposed;
         if let Some(worker) = self.workers.get_mut(slot) {
-            let live = Live {
+            let live = LiveAttempt {
                 token,
                 need,
                 measured: Resources::default(),
-                expected: self.usage.get(id).copied().unwrap_or_default(),
+                expected_usage: self.job_usage.get(id).copied().unwrap_or_default(),
                 class,
                 stage: Stage::Ordered,
-                meant_for: worker.incarnation,
-                start_after,
+                target: worker.incarnation,
+                start_event,
                 start_sent: None,
-                stop_after: None,
+                stop_event: None,
                 stop_sent: None,
-                seen: false,
+                reported: false,
             };
             worker.attempts.insert((id.clone(), task), live);
             worker.update_available();
             if urgent {
-                let racks = self.racks.entry(id.clone()).or_default();
-                *racks.entry(worker.rack_number).or_default() += 1;
+                let rack_tasks = self.rack_tasks.entry(id.clone()).or_default();
+                *rack_tasks.entry(worker.rack_number).or_default() += 1;
             }
         }
         self.reindex_available(slot);
@@ -357,7 +391,7 @@
 
     /// Moves a worker that is in the index to its place.
     pub(super) fn reindex_available(&mut self, slot: usize) {
-        if self.workers.get(slot).is_some_and(|worker| worker.indexed.is_some()) {
+        if self.workers.get(slot).is_some_and(|worker| worker.index_key.is_some()) {
             self.unindex(slot);
             self.insert_index(slot);
         }
@@ -367,7 +401,7 @@
         let Some(worker) = self.workers.get_mut(slot) else { return };
         // Urgent work may take at least what other work may take.
         let cpu = worker.urgent_available.cpu_milli;
-        worker.indexed = Some(cpu);
+        worker.index_key = Some(cpu);
         self.index.all.insert((cpu, slot));
         if worker.urgent_available.accelerators > 0 {
             self.index.accelerated.insert((cpu, slot));
@@ -376,7 +410,7 @@
 
     pub(super) fn unindex(&mut self, slot: usize) {
         let Some(worker) = self.workers.get_mut(slot) else { return };
-        if let Some(cpu) = worker.indexed.take() {
+        if let Some(cpu) = worker.index_key.take() {
             self.index.all.remove(&(cpu, slot));
             self.index.accelerated.remove(&(cpu, slot));
         }
@@ -384,23 +418,23 @@
 }
 
 /// Tells whether a worker may become usable again soon.
-fn is_known(now: Time, worker: &Worker) -> bool {
+fn may_return(now: Time, worker: &Worker) -> bool {
     let silence = worker.last_report.map(|last| now.saturating_sub(last));
-    silence.is_some_and(|silence| silence <= FORGET_AFTER) && !worker.is_quarantined(now)
+    silence.is_some_and(|silence| silence <= FORGET_WORKER_AFTER) && !worker.is_quarantined(now)
 }
 
-fn accepts(wish: &Wish, worker: &Worker) -> bool {
-    (!wish.proven || worker.is_proven_for(&wish.job.spec.id))
-        && (wish.anywhere || !wish.job.failed_on.contains(&worker.agent))
+fn accepts(worker_filter: &WorkerFilter, worker: &Worker) -> bool {
+    (!worker_filter.proven_only || worker.is_proven_for(&worker_filter.job.spec.id))
+        && (worker_filter.allow_failed || !worker_filter.job.failed_on.contains(&worker.agent))
 }
 
 fn next_task(job: &Job, lane: Lane) -> Option<TaskIndex> {
     match lane.is_requeued() {
         true => job.has_requeued().then(|| job.requeued.keys().next().copied()).flatten(),
-        false => job.has_fresh().then_some(job.fresh),
+        false => job.has_unstarted().then_some(job.next_unstarted),
     }
 }
 
-fn shape(need: &Resources) -> (u64, u64, u64) {
+fn need_key(need: &Resources) -> (u64, u64, u64) {
     (need.cpu_milli, need.memory_mib, need.accelerators)
 }
--- a/crates/core/src/cell/state.rs
+++ b/crates/core/src/cell/state.rs
@@ -11,13 +11,13 @@
 use crate::resources::Resources;
 
 /// A job fails permanently after failures on this many different workers.
-pub const FAULTY_WORKERS: usize = 3;
+pub const MAX_FAILED_WORKERS: usize = 3;
 /// A job fails permanently after this many failures of one task, on whichever workers. Ends a job
 /// in a cell with fewer than [`FAULTY_WORKERS`] workers, or whose workers are under suspicion too.
-pub const TASK_FAILURES: u32 = 10;
+pub const MAX_TASK_FAILURES: u32 = 10;
 /// Ended jobs that are kept for `show` and for repeated submits. A cell ends about 2,800 jobs a
 /// day at plan size, so this covers eight hours.
-pub const ENDED_KEPT: usize = 1_000;
+pub const MAX_ENDED_JOBS: usize = 1_000;
 
 /// What a submitter asks for.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -33,22 +33,22 @@
 impl JobSpec {
     /// Returns an upper estimate of the encoded size of a job that has not started.
     pub fn size(&self) -> usize {
-        const FIXED: usize = 40;
-        FIXED + self.id.len() + self.team.len() + self.class.len() + self.command.len()
+        const FIXED_BYTES: usize = 40;
+        FIXED_BYTES + self.id.len() + self.team.len() + self.class.len() + self.command.len()
     }
 
     /// Returns a digest that tells whether two specifications are the same.
     pub fn digest(&self) -> u64 {
-        let mut text = Vec::with_capacity(128 + self.command.len());
+        let mut encoded = Vec::with_capacity(128 + self.command.len());
         for part in [self.team.as_bytes(), self.class.as_bytes(), &self.command] {
-            text.extend_from_slice(&(part.len() as u64).to_le_bytes());
-            text.extend_from_slice(part);
+            encoded.extend_from_slice(&(part.len() as u64).to_le_bytes());
+            encoded.extend_from_slice(part);
         }
         let need = self.need;
         for number in [self.tasks.into(), need.cpu_milli, need.memory_mib, need.accelerators] {
-            text.extend_from_slice(&u64::to_le_bytes(number));
+            encoded.extend_from_slice(&u64::to_le_bytes(number));
         }
-        hash::stable(&text)
+        hash::stable(&encoded)
     }
 }
 
@@ -107,11 +107,11 @@
 impl Event {
     /// Returns an upper estimate of the encoded size in bytes.
     pub fn size(&self) -> usize {
-        const FIXED: usize = 48;
+        const FIXED_BYTES: usize = 48;
         // Estimated closely, because cancellations arrive in bursts and share a batch.
-        const CANCEL: usize = 8;
+        const CANCEL_BYTES: usize = 8;
         let attempt = |attempt: &AttemptId| attempt.job.len();
-        FIXED
+        FIXED_BYTES
             + match self {
                 Event::TakenOver { .. } | Event::Released { .. } => 0,
                 Event::Submitted { spec, .. } => {
@@ -124,7 +124,7 @@
                     attempt(a) + checkpoint.as_ref().map_or(0, Bytes::len)
                 }
                 Event::Failed { attempt: a, reason, .. } => attempt(a) + reason.len(),
-                Event::CancelRequested { job } => return CANCEL + job.len(),
+                Event::CancelRequested { job } => return CANCEL_BYTES + job.len(),
                 Event::Unrunnable { job, reason } => job.len() + reason.len(),
                 Event::Blamed { agent } => agent.len(),
             }
@@ -187,7 +187,7 @@
 }
 
 impl Resume {
-    fn with(self, checkpoint: &Option<Bytes>) -> Self {
+    fn with_checkpoint(self, checkpoint: &Option<Bytes>) -> Self {
         Resume { checkpoint: checkpoint.clone().or(self.checkpoint), ..self }
     }
 }
@@ -200,11 +200,11 @@
     digest: Option<u64>,
     pub urgent: bool,
     /// Position in the order of submission.
-    pub order: u64,
+    pub submit_order: u64,
     pub phase: Phase,
     pub reason: Option<String>,
     /// First task that was never started.
-    pub fresh: TaskIndex,
+    pub next_unstarted: TaskIndex,
     /// Tasks that wait for another attempt.
     pub requeued: BTreeMap<TaskIndex, Resume>,
     pub attempts: BTreeMap<TaskIndex, Attempt>,
@@ -218,15 +218,15 @@
 }
 
 impl Job {
-    fn new(spec: JobSpec, urgent: bool, order: u64) -> Self {
+    fn new(spec: JobSpec, urgent: bool, submit_order: u64) -> Self {
         Job {
             spec,
             digest: None,
             urgent,
-            order,
+            submit_order,
             phase: Phase::Active,
             reason: None,
-            fresh: 0,
+            next_unstarted: 0,
             requeued: BTreeMap::new(),
             attempts: BTreeMap::new(),
             completed: 0,
@@ -238,13 +238,13 @@
     }
 
     /// Tells whether the job was submitted with this specification.
-    pub fn is_same(&self, spec: &JobSpec) -> bool {
+    pub fn matches_spec(&self, spec: &JobSpec) -> bool {
         self.digest.unwrap_or_else(|| self.spec.digest()) == spec.digest()
     }
 
     /// Returns an upper estimate of the encoded size in bytes.
     pub fn size(&self) -> usize {
-        const ATTEMPT: usize = 16;
+        const ATTEMPT_BYTES: usize = 16;
         let agents = self.attempts.values().map(|attempt| attempt.agent.len());
         let waiting = self.requeued.values();
         let resumes = waiting.chain(self.attempts.values().map(|attempt| &attempt.resume));
@@ -252,21 +252,21 @@
         let failed_on = self.failed_on.iter().map(String::len);
         self.spec.size()
             + self.reason.as_ref().map_or(0, String::len)
-            + ATTEMPT * (self.requeued.len() + self.attempts.len())
+            + ATTEMPT_BYTES * (self.requeued.len() + self.attempts.len())
             + agents.chain(checkpoints).chain(failed_on).sum::<usize>()
     }
 
     /// Number of tasks that wait for a start.
     pub fn waiting(&self) -> u32 {
         match self.phase {
-            Phase::Active => self.spec.tasks - self.fresh + self.requeued.len() as u32,
+            Phase::Active => self.spec.tasks - self.next_unstarted + self.requeued.len() as u32,
             _ => 0,
         }
     }
 
     /// Tells whether tasks wait that were never started.
-    pub fn has_fresh(&self) -> bool {
-        self.phase == Phase::Active && self.fresh < self.spec.tasks
+    pub fn has_unstarted(&self) -> bool {
+        self.phase == Phase::Active && self.next_unstarted < self.spec.tasks
     }
 
     /// Tells whether tasks wait that were started before.
@@ -287,7 +287,7 @@
     }
 
     /// Ends the job when no task waits or runs. Tells whether it ended.
-    fn settle(&mut self) -> bool {
+    fn end_if_done(&mut self) -> bool {
         if self.phase.is_final() || !self.attempts.is_empty() {
             return false;
         }
@@ -309,7 +309,7 @@
     /// Whether the owner of `epoch` released the cell with each attempt confirmed.
     pub clean: bool,
     /// Whether the predecessor of the owner of `epoch` had released it so.
-    pub inherited_clean: bool,
+    pub predecessor_clean: bool,
     /// Number of the last token.
     pub last_token: u64,
     /// Jobs submitted so far.
@@ -326,7 +326,7 @@
         match event {
             Event::TakenOver { epoch } => {
                 // An epoch of 0 has never granted anything.
-                self.inherited_clean = self.clean || self.epoch == 0;
+                self.predecessor_clean = self.clean || self.epoch == 0;
                 self.clean = false;
                 self.epoch = *epoch;
             }
@@ -344,12 +344,12 @@
             Event::Evicted { attempt, checkpoint } => {
                 self.end_attempt(attempt, |job, ended| {
                     job.evictions += 1;
-                    requeue(job, attempt.task, ended.resume.with(checkpoint));
+                    requeue(job, attempt.task, ended.resume.with_checkpoint(checkpoint));
                 });
             }
             Event::Requeued { attempt, checkpoint } => {
                 self.end_attempt(attempt, |job, ended| {
-                    requeue(job, attempt.task, ended.resume.with(checkpoint));
+                    requeue(job, attempt.task, ended.resume.with_checkpoint(checkpoint));
                 });
             }
             Event::Failed { attempt, reason, counted } => {
@@ -358,8 +358,8 @@
                 });
             }
             Event::CancelRequested { job } => self.stop(job, Phase::Cancelling, None),
-            Event::Unrunnable { job, reason } => self.reject(job, reason),
-            Event::Blamed { agent } => self.blame(agent),
+            Event::Unrunnable { job, reason } => self.mark_unrunnable(job, reason),
+            Event::Blamed { agent } => self.clear_failures(agent),
         }
     }
 
@@ -389,8 +389,8 @@
         };
         let resume = match job.requeued.remove(&id.task) {
             Some(resume) => resume,
-            None if id.task == job.fresh && job.fresh < job.spec.tasks => {
-                job.fresh += 1;
+            None if id.task == job.next_unstarted && job.next_unstarted < job.spec.tasks => {
+                job.next_unstarted += 1;
                 Resume::default()
             }
             None => return,
@@ -407,17 +407,17 @@
         if let Some(attempt) = job.attempts.remove(&id.task) {
             change(job, attempt);
         }
-        self.settle(&id.job);
+        self.end_if_done(&id.job);
     }
 
     fn stop(&mut self, id: &JobId, phase: Phase, reason: Option<String>) {
         if let Some(job) = self.jobs.get_mut(id).filter(|job| job.phase == Phase::Active) {
             job.stop(phase, reason);
-            self.settle(id);
+            self.end_if_done(id);
         }
     }
 
-    fn reject(&mut self, id: &JobId, reason: &str) {
+    fn mark_unrunnable(&mut self, id: &JobId, reason: &str) {
         match self.jobs.get_mut(id) {
             Some(job) if job.phase == Phase::Active && job.attempts.is_empty() => {
                 job.stop(Phase::Unrunnable, Some(reason.to_owned()));
@@ -427,14 +427,14 @@
         }
     }
 
-    fn blame(&mut self, agent: &AgentId) {
+    fn clear_failures(&mut self, agent: &AgentId) {
         for job in self.jobs.values_mut().filter(|job| !job.phase.is_final()) {
             job.failed_on.remove(agent);
         }
     }
 
-    fn settle(&mut self, id: &JobId) {
-        if self.jobs.get_mut(id).is_some_and(Job::settle) {
+    fn end_if_done(&mut self, id: &JobId) {
+        if self.jobs.get_mut(id).is_some_and(Job::end_if_done) {
             self.retire(id);
         }
     }
@@ -447,7 +447,7 @@
             job.failed_on.clear();
         }
         self.ended.push_back(id.clone());
-        while self.ended.len() > ENDED_KEPT {
+        while self.ended.len() > MAX_ENDED_JOBS {
             if let Some(oldest) = self.ended.pop_front() {
                 self.jobs.remove(&oldest);
             }
@@ -471,7 +471,7 @@
     if counted {
         job.failed_on.insert(ended.agent);
     }
-    if job.failed_on.len() >= FAULTY_WORKERS || failures >= TASK_FAILURES {
+    if job.failed_on.len() >= MAX_FAILED_WORKERS || failures >= MAX_TASK_FAILURES {
         job.stop(Phase::Failing, Some(reason.to_owned()));
     }
 }
--- a/crates/core/src/cell/worker.rs
+++ b/crates/core/src/cell/worker.rs
@@ -12,7 +12,7 @@
 
 /// An eighth of a worker's capacity is kept free for urgent work: other work that grows or is
 /// throttled keeps its reservations for minutes.
-const URGENT_SHARE: u64 = 8;
+const URGENT_SHARE_DIVISOR: u64 = 8;
 
 /// How far an attempt has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -34,31 +34,31 @@
 
 /// An attempt that may be alive on a worker.
 #[derive(Debug, Clone)]
-pub(super) struct Live {
+pub(super) struct LiveAttempt {
     pub token: Token,
     pub need: Resources,
     /// Usage in the last report; zero while none is known.
     pub measured: Resources,
     /// Largest usage of the job's tasks at full speed that was known at the last report.
-    pub expected: Resources,
+    pub expected_usage: Resources,
     /// Number of the class within the cell.
     pub class: usize,
     pub stage: Stage,
     /// Incarnation that the order is meant for; `None` if an earlier owner ordered it.
-    pub meant_for: Option<Incarnation>,
+    pub target: Option<Incarnation>,
     /// Sequence of the event that allows the start.
-    pub start_after: u64,
+    pub start_event: u64,
     pub start_sent: Option<StartSent>,
     /// Sequence of the event that allows the stop, when one is wanted.
-    pub stop_after: Option<u64>,
+    pub stop_event: Option<u64>,
     pub stop_sent: Option<Time>,
     /// Whether the last report listed it, so that the reported free capacity accounts for it.
-    pub seen: bool,
+    pub reported: bool,
 }
 
-impl Live {
+impl LiveAttempt {
     /// What the agent's ledger reserves for the attempt.
-    pub fn amount(&self) -> Resources {
+    pub fn reserved_amount(&self) -> Resources {
         self.need.max(&self.measured)
     }
 }
@@ -89,7 +89,7 @@
     pub rack_number: usize,
     pub capacity: Resources,
     /// Largest capacity reported; a closing lowers the current one for a while.
-    pub largest: Resources,
+    pub max_capacity: Resources,
     pub free: Resources,
     pub urgent_free: Resources,
     /// Reported free capacity minus what was ordered and is not part of it yet.
@@ -97,38 +97,38 @@
     /// The same for urgent work.
     pub urgent_available: Resources,
     /// What the attempts of each class hold, by number of the class.
-    pub class_used: Vec<Resources>,
+    pub class_reserved: Vec<Resources>,
     /// The same with the growth that is expected.
-    pub class_planned: Vec<Resources>,
+    pub class_expected: Vec<Resources>,
     /// Growth that is expected of all attempts.
-    pub growth: Resources,
+    pub expected_growth: Resources,
     pub pressure: u32,
     pub last_report: Option<Time>,
     /// Time at which each lease that any owner may have granted has certainly run out.
-    pub expires: Time,
+    pub lease_expiry: Time,
     /// Whether an earlier owner may still renew leases of this worker.
-    pub inherited: bool,
+    pub unfenced: bool,
     /// Jobs that failed since the last success.
     pub failed_jobs: BTreeSet<JobId>,
     /// The last two different jobs that succeeded.
-    pub succeeded: Vec<JobId>,
+    pub succeeded_jobs: Vec<JobId>,
     pub quarantined_until: Time,
     pub quarantines: u32,
     /// No placement before this time, after a refusal.
-    pub avoid_until: Time,
-    pub attempts: BTreeMap<(JobId, TaskIndex), Live>,
+    pub backoff_until: Time,
+    pub attempts: BTreeMap<(JobId, TaskIndex), LiveAttempt>,
     /// Results of the last report.
     pub results: Vec<AttemptId>,
     /// Ended attempts whose event is not committed yet, with its sequence.
-    pub ending: BTreeMap<AttemptId, u64>,
+    pub uncommitted_ends: BTreeMap<AttemptId, u64>,
     /// Reported attempts that are not current, with the time of the last stop order.
     pub orphans: BTreeMap<AttemptId, Option<Time>>,
     /// Key in the placement index, when it is there.
-    pub indexed: Option<u64>,
+    pub index_key: Option<u64>,
 }
 
 impl Worker {
-    pub fn new(agent: AgentId, expires: Time) -> Self {
+    pub fn new(agent: AgentId, lease_expiry: Time) -> Self {
         Worker {
             agent,
             incarnation: None,
@@ -139,28 +139,28 @@
             rack: String::new(),
             rack_number: usize::MAX,
             capacity: Resources::default(),
-            largest: Resources::default(),
+            max_capacity: Resources::default(),
             free: Resources::default(),
             urgent_free: Resources::default(),
             available: Resources::default(),
             urgent_available: Resources::default(),
-            class_used: Vec::new(),
-            class_planned: Vec::new(),
-            growth: Resources::default(),
+            class_reserved: Vec::new(),
+            class_expected: Vec::new(),
+            expected_growth: Resources::default(),
             pressure: 0,
             last_report: None,
-            expires,
-            inherited: true,
+            lease_expiry,
+            unfenced: true,
             failed_jobs: BTreeSet::new(),
-            succeeded: Vec::new(),
+            succeeded_jobs: Vec::new(),
             quarantined_until: Time::ZERO,
             quarantines: 0,
-            avoid_until: Time::ZERO,
+            backoff_until: Time::ZERO,
             attempts: BTreeMap::new(),
             results: Vec::new(),
-            ending: BTreeMap::new(),
+            uncommitted_ends: BTreeMap::new(),
             orphans: BTreeMap::new(),
-            indexed: None,
+            index_key: None,
         }
     }
 
@@ -181,12 +181,12 @@
     }
 
     /// Tells whether a report was overtaken by a newer one of its incarnation.
-    pub fn is_overtaken(&self, incarnation: Incarnation, sequence: u64) -> bool {
+    pub fn is_stale(&self, incarnation: Incarnation, sequence: u64) -> bool {
         self.incarnation == Some(incarnation) && self.sequence >= Some(sequence)
     }
 
     /// Notes which incarnation reports.
-    pub fn adopt(&mut self, incarnation: Incarnation, sequence: u64) {
+    pub fn set_incarnation(&mut self, incarnation: Incarnation, sequence: u64) {
         if self.incarnation != Some(incarnation) {
             self.incarnation = Some(incarnation);
             self.candidate = None;
@@ -202,74 +202,76 @@
     /// Tells whether jobs other than `job` succeeded here and none failed since.
     pub fn is_proven_for(&self, job: &JobId) -> bool {
         self.failed_jobs.iter().all(|failed| failed == job)
-            && self.succeeded.iter().any(|succeeded| succeeded != job)
+            && self.succeeded_jobs.iter().any(|other| other != job)
     }
 
-    pub fn note_success(&mut self, job: &JobId) {
+    pub fn record_success(&mut self, job: &JobId) {
         self.failed_jobs.clear();
         self.quarantines = 0;
-        if !self.succeeded.contains(job) {
-            self.succeeded.insert(0, job.clone());
-            self.succeeded.truncate(2);
+        if !self.succeeded_jobs.contains(job) {
+            self.succeeded_jobs.insert(0, job.clone());
+            self.succeeded_jobs.truncate(2);
         }
     }
 
     /// Recomputes what can be ordered from this worker.
     pub fn update_available(&mut self) {
-        let unseen = self.attempts.values().filter(|live| !live.seen);
-        let ordered = unseen.fold(Resources::default(), |sum, live| sum.plus(&live.need));
+        let unreported = self.attempts.values().filter(|live| !live.reported);
+        let ordered = unreported.fold(Resources::default(), |sum, live| sum.plus(&live.need));
         self.available = self.free.minus(&ordered);
         self.urgent_available = self.urgent_free.minus(&ordered);
-        self.class_used.clear();
-        self.class_planned.clear();
-        self.growth = Resources::default();
+        self.class_reserved.clear();
+        self.class_expected.clear();
+        self.expected_growth = Resources::default();
         for live in self.attempts.values() {
-            if self.class_used.len() <= live.class {
-                self.class_used.resize(live.class + 1, Resources::default());
-                self.class_planned.resize(live.class + 1, Resources::default());
+            if self.class_reserved.len() <= live.class {
+                self.class_reserved.resize(live.class + 1, Resources::default());
+                self.class_expected.resize(live.class + 1, Resources::default());
             }
-            let amount = live.amount();
-            let growth = live.expected.minus(&amount);
-            self.growth = self.growth.plus(&growth);
+            let reserved_amount = live.reserved_amount();
+            let expected_growth = live.expected_usage.minus(&reserved_amount);
+            self.expected_growth = self.expected_growth.plus(&expected_growth);
             let (used, planned) =
-                (&mut self.class_used[live.class], &mut self.class_planned[live.class]);
-            *used = used.plus(&amount);
-            *planned = planned.plus(&amount).plus(&growth);
+                (&mut self.class_reserved[live.class], &mut self.class_expected[live.class]);
+            *used = used.plus(&reserved_amount);
+            *planned = planned.plus(&reserved_amount).plus(&expected_growth);
         }
     }
 
     /// Returns what a start may take. With `keeps_share`, work that is not urgent leaves the share
     /// for urgent work free, except on an idle worker: a task may need all of it.
-    pub fn room(&self, urgent: bool, keeps_share: bool) -> Resources {
+    pub fn available_for(&self, urgent: bool, keep_share: bool) -> Resources {
         match () {
             () if urgent => return self.urgent_available,
             () if self.attempts.is_empty() => return self.available,
-            () if !keeps_share => return self.available.minus(&self.growth),
+            () if !keep_share => return self.available.minus(&self.expected_growth),
             () => {}
         }
         let Resources { cpu_milli, memory_mib, .. } = self.capacity;
-        let kept = Resources::new(cpu_milli / URGENT_SHARE, memory_mib / URGENT_SHARE, 0);
-        self.available.minus(&self.growth).minus(&kept)
+        let kept =
+            Resources::new(cpu_milli / URGENT_SHARE_DIVISOR, memory_mib / URGENT_SHARE_DIVISOR, 0);
+        self.available.minus(&self.expected_growth).minus(&kept)
     }
 
     /// Tells whether the class limits, by number of the class, leave room for `need`. The ledger
     /// admits nothing while any class holds more than its limit; a class that was removed has none.
-    pub fn has_class_room(
+    pub fn fits_class_limits(
         &self,
         limits: &[Option<Resources>],
         class: usize,
         need: &Resources,
     ) -> bool {
-        let planned = self.class_planned.get(class).copied().unwrap_or_default();
+        let planned = self.class_expected.get(class).copied().unwrap_or_default();
         let is_within =
             |used: &Resources, limit: &Option<Resources>| limit.is_none_or(|l| used.fits_in(&l));
         limits.get(class).is_some_and(|limit| limit.is_some_and(|l| planned.plus(need).fits_in(&l)))
-            && self.class_used.iter().zip(limits).all(|(used, limit)| is_within(used, limit))
+            && self.class_reserved.iter().zip(limits).all(|(used, limit)| is_within(used, limit))
     }
 
     /// Tells whether nothing is known of this worker that is not durable.
-    pub fn is_settled(&self, committed: u64) -> bool {
-        self.attempts.is_empty() && self.ending.values().all(|sequence| *sequence <= committed)
+    pub fn is_removable(&self, committed: u64) -> bool {
+        self.attempts.is_empty()
+            && self.uncommitted_ends.values().all(|sequence| *sequence <= committed)
     }
 
     /// Current state in one word.
@@ -317,13 +319,13 @@
 pub(super) struct Workers {
     slots: Vec<Option<Worker>>,
     vacant: Vec<usize>,
-    ids: BTreeMap<AgentId, usize>,
-    racks: BTreeMap<String, usize>,
+    slots_by_agent: BTreeMap<AgentId, usize>,
+    rack_numbers: BTreeMap<String, usize>,
 }
 
 impl Workers {
     pub fn find(&self, agent: &str) -> Option<usize> {
-        self.ids.get(agent).copied()
+        self.slots_by_agent.get(agent).copied()
     }
 
     /// Number of slots, including vacant ones.
@@ -348,7 +350,7 @@
     }
 
     /// Returns the slot of `agent`, and adds it if it is new.
-    pub fn insert(&mut self, agent: &AgentId, expires: Time) -> usize {
+    pub fn insert(&mut self, agent: &AgentId, lease_expiry: Time) -> usize {
         if let Some(slot) = self.find(agent) {
             return slot;
         }
@@ -356,18 +358,18 @@
             self.slots.push(None);
             self.slots.len() - 1
         });
-        self.slots[slot] = Some(Worker::new(agent.clone(), expires));
-        self.ids.insert(agent.clone(), slot);
+        self.slots[slot] = Some(Worker::new(agent.clone(), lease_expiry));
+        self.slots_by_agent.insert(agent.clone(), slot);
         slot
     }
 
     /// Notes the rack of a worker.
     pub fn set_rack(&mut self, slot: usize, rack: &str) {
-        let number = match self.racks.get(rack) {
+        let number = match self.rack_numbers.get(rack) {
             Some(number) => *number,
             None => {
-                self.racks.insert(rack.to_owned(), self.racks.len());
-                self.racks.len() - 1
+                self.rack_numbers.insert(rack.to_owned(), self.rack_numbers.len());
+                self.rack_numbers.len() - 1
             }
         };
         if let Some(worker) = self.get_mut(slot).filter(|worker| worker.rack != rack) {
@@ -378,7 +380,7 @@
 
     pub fn remove(&mut self, slot: usize) {
         if let Some(worker) = self.slots.get_mut(slot).and_then(Option::take) {
-            self.ids.remove(&worker.agent);
+            self.slots_by_agent.remove(&worker.agent);
             self.vacant.push(slot);
         }
     }
--- a/crates/core/src/ledger.rs
+++ b/crates/core/src/ledger.rs
@@ -12,7 +12,7 @@
 use crate::time::Time;
 
 /// Speed of a task whose usage outgrew the VM, in percent.
-const GROWTH_SPEED: u8 = 50;
+const THROTTLED_SPEED_PERCENT: u8 = 50;
 
 /// Limits from the configuration in effect.
 #[derive(Debug, Clone, Default, PartialEq)]
@@ -40,22 +40,22 @@
     NoConfiguration,
     UnknownClass,
     /// Running tasks exceed the capacity for batch work.
-    Relieving,
+    Overcommitted,
     NotInClosing,
     ClassLimit {
         need: Resources,
-        room: Resources,
+        available: Resources,
     },
     Capacity {
         need: Resources,
-        room: Resources,
+        available: Resources,
     },
 }
 
 impl fmt::Display for Refusal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let amounts =
-            |f: &mut fmt::Formatter<'_>, text: &str, need: &Resources, room: &Resources| {
+        let write_amounts =
+            |f: &mut fmt::Formatter<'_>, text: &str, need: &Resources, available: &Resources| {
                 write!(
                     f,
                     "{text}: needs cpu_milli={} memory_mib={} accelerators={}, \
@@ -63,25 +63,29 @@
                     need.cpu_milli,
                     need.memory_mib,
                     need.accelerators,
-                    room.cpu_milli,
-                    room.memory_mib,
-                    room.accelerators
+                    available.cpu_milli,
+                    available.memory_mib,
+                    available.accelerators
                 )
             };
         match self {
             Refusal::NoConfiguration => f.write_str("no configuration yet"),
             Refusal::UnknownClass => f.write_str("class is not configured"),
-            Refusal::Relieving => f.write_str("running tasks exceed the capacity for batch work"),
+            Refusal::Overcommitted => {
+                f.write_str("running tasks exceed the capacity for batch work")
+            }
             Refusal::NotInClosing => f.write_str("class does not belong to the closing"),
-            Refusal::ClassLimit { need, room } => amounts(f, "class limit", need, room),
-            Refusal::Capacity { need, room } => amounts(f, "capacity", need, room),
+            Refusal::ClassLimit { need, available } => {
+                write_amounts(f, "class limit", need, available)
+            }
+            Refusal::Capacity { need, available } => write_amounts(f, "capacity", need, available),
         }
     }
 }
 
 /// What to do about usage above a limit.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Relief {
+pub enum LimitAction {
     Throttle(AttemptId),
     Evict(AttemptId),
     /// The task may run at full speed again.
@@ -90,7 +94,7 @@
 
 /// A task as the ledger sees it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Held {
+pub struct TaskDemand {
     pub class: String,
     pub need: Resources,
     pub urgent: bool,
@@ -100,19 +104,19 @@
 
 #[derive(Debug, Clone)]
 struct Reservation {
-    held: Held,
+    demand: TaskDemand,
     /// Order of admission.
-    order: u64,
+    admission_order: u64,
     /// Usage at full speed, as last measured.
-    full: Resources,
+    full_usage: Resources,
     stopping: bool,
     throttled_at: Option<Time>,
     restored_at: Option<Time>,
 }
 
 impl Reservation {
-    fn amount(&self) -> Resources {
-        self.held.need.max(&self.held.measured)
+    fn reserved_amount(&self) -> Resources {
+        self.demand.need.max(&self.demand.measured)
     }
 }
 
@@ -122,7 +126,7 @@
     capacity: Resources,
     limits: Option<Limits>,
     /// Time for an effect to become visible in measurements.
-    settle: Time,
+    settle_time: Time,
     tasks: BTreeMap<AttemptId, Reservation>,
     next_order: u64,
 }
@@ -130,7 +134,13 @@
 impl Ledger {
     /// Builds an empty ledger. `lag` is the lag of usage measurements.
     pub fn new(capacity: Resources, lag: Time) -> Self {
-        Ledger { capacity, limits: None, settle: lag * 2, tasks: BTreeMap::new(), next_order: 0 }
+        Ledger {
+            capacity,
+            limits: None,
+            settle_time: lag * 2,
+            tasks: BTreeMap::new(),
+            next_order: 0,
+        }
     }
 
     /// Sets the size of the VM.
@@ -146,8 +156,8 @@
     /// Capacity of the VM without what is reserved for its service and closed to batch work.
     pub fn batch_capacity(&self) -> Resources {
         let Some(limits) = &self.limits else { return Resources::default() };
-        let room = self.capacity.minus(&limits.service);
-        limits.closing.as_ref().map_or(room, |closing| room.min(&closing.batch))
+        let available = self.capacity.minus(&limits.service);
+        limits.closing.as_ref().map_or(available, |closing| available.min(&closing.batch))
     }
 
     /// Sum of the reservations.
@@ -170,7 +180,7 @@
     }
 
     /// Tells whether running tasks hold more than is allowed.
-    pub fn is_over(&self) -> bool {
+    pub fn is_overcommitted(&self) -> bool {
         self.excess(|_| true).is_some()
     }
 
@@ -182,7 +192,7 @@
     /// Speed that the ledger allows a task, in percent.
     pub fn speed(&self, attempt: &AttemptId) -> u8 {
         match self.tasks.get(attempt) {
-            Some(task) if task.throttled_at.is_some() => GROWTH_SPEED,
+            Some(task) if task.throttled_at.is_some() => THROTTLED_SPEED_PERCENT,
             _ => 100,
         }
     }
@@ -192,7 +202,7 @@
     /// # Errors
     ///
     /// Refuses what does not fit, and everything while running tasks hold too much.
-    pub fn admit(&mut self, attempt: AttemptId, task: Held) -> Result<(), Refusal> {
+    pub fn admit(&mut self, attempt: AttemptId, task: TaskDemand) -> Result<(), Refusal> {
         let limits = self.limits.as_ref().ok_or(Refusal::NoConfiguration)?;
         let class_limit = limits.classes.get(&task.class).ok_or(Refusal::UnknownClass)?;
         if let Some(closing) = &limits.closing {
@@ -205,30 +215,30 @@
             false => self.batch_capacity(),
         };
         // The limit of a closing that is only being prepared may be exceeded as well.
-        if self.is_over() || !self.reserved().fits_in(&capacity) {
-            return Err(Refusal::Relieving);
+        if self.is_overcommitted() || !self.reserved().fits_in(&capacity) {
+            return Err(Refusal::Overcommitted);
         }
         let need = task.need.max(&task.measured);
-        let used = sum(self.tasks.values().filter(|other| other.held.class == task.class));
+        let used = sum(self.tasks.values().filter(|other| other.demand.class == task.class));
         if !used.plus(&need).fits_in(class_limit) {
-            return Err(Refusal::ClassLimit { need, room: class_limit.minus(&used) });
+            return Err(Refusal::ClassLimit { need, available: class_limit.minus(&used) });
         }
         if !self.reserved().plus(&need).fits_in(&capacity) {
-            return Err(Refusal::Capacity { need, room: capacity.minus(&self.reserved()) });
+            return Err(Refusal::Capacity { need, available: capacity.minus(&self.reserved()) });
         }
         self.adopt(attempt, task);
         Ok(())
     }
 
     /// Records a task that runs already, whether it fits or not.
-    pub fn adopt(&mut self, attempt: AttemptId, task: Held) {
-        let order = self.next_order;
+    pub fn adopt(&mut self, attempt: AttemptId, task: TaskDemand) {
+        let admission_order = self.next_order;
         self.next_order += 1;
-        let full = task.measured;
+        let full_usage = task.measured;
         let reservation = Reservation {
-            held: task,
-            order,
-            full,
+            demand: task,
+            admission_order,
+            full_usage,
             stopping: false,
             throttled_at: None,
             restored_at: None,
@@ -237,16 +247,16 @@
     }
 
     /// Records measured usage. Zero means that none is known yet.
-    pub fn measure(&mut self, now: Time, attempt: &AttemptId, usage: Resources) {
-        let settle = self.settle;
+    pub fn record_usage(&mut self, now: Time, attempt: &AttemptId, usage: Resources) {
+        let settle_time = self.settle_time;
         match self.tasks.get_mut(attempt) {
             Some(task) if !usage.is_zero() => {
                 // Measurements lag: just after a restore they still show the throttled usage.
-                let settling = task.restored_at.is_some_and(|at| now < at + settle);
-                let usage = if settling { task.held.measured.max(&usage) } else { usage };
-                task.held.measured = usage;
-                task.full = match task.throttled_at {
-                    Some(_) => task.full.max(&usage),
+                let settling = task.restored_at.is_some_and(|at| now < at + settle_time);
+                let usage = if settling { task.demand.measured.max(&usage) } else { usage };
+                task.demand.measured = usage;
+                task.full_usage = match task.throttled_at {
+                    Some(_) => task.full_usage.max(&usage),
                     None => usage,
                 };
             }
@@ -268,71 +278,72 @@
 
     /// Decides what to do about usage above a limit: throttles the newest task, and evicts it if
     /// the usage is still too high once the throttle should be visible in the measurements.
-    pub fn relieve(&mut self, now: Time) -> Vec<Relief> {
-        let mut reliefs = Vec::new();
-        while let Some((class, over)) = self.excess(|task| !task.stopping) {
-            let Some(victim) = self.newest(class.as_deref(), &over) else { break };
-            let settle = self.settle;
+    pub fn enforce_limits(&mut self, now: Time) -> Vec<LimitAction> {
+        let mut actions = Vec::new();
+        while let Some((class, overuse)) = self.excess(|task| !task.stopping) {
+            let Some(victim) = self.newest_offender(class.as_deref(), &overuse) else { break };
+            let settle_time = self.settle_time;
             let Some(task) = self.tasks.get_mut(&victim) else { break };
             match task.throttled_at {
                 None => {
                     task.throttled_at = Some(now);
-                    reliefs.push(Relief::Throttle(victim));
+                    actions.push(LimitAction::Throttle(victim));
                     break;
                 }
-                Some(at) if now < at + settle => break,
+                Some(at) if now < at + settle_time => break,
                 Some(_) => {
                     task.stopping = true;
-                    reliefs.push(Relief::Evict(victim));
+                    actions.push(LimitAction::Evict(victim));
                 }
             }
         }
-        if reliefs.is_empty() && !self.is_over() {
-            reliefs.extend(self.restore(now));
+        if actions.is_empty() && !self.is_overcommitted() {
+            actions.extend(self.restore(now));
         }
-        reliefs
+        actions
     }
 
     /// Restores the oldest throttled task whose usage at full speed fits.
-    fn restore(&mut self, now: Time) -> Option<Relief> {
-        let settle = self.settle;
-        let fits = |attempt: &AttemptId, task: &Reservation| {
-            let due = task.throttled_at.is_some_and(|at| now >= at + settle);
+    fn restore(&mut self, now: Time) -> Option<LimitAction> {
+        let settle_time = self.settle_time;
+        let is_restorable = |attempt: &AttemptId, task: &Reservation| {
+            let due = task.throttled_at.is_some_and(|at| now >= at + settle_time);
             due && !task.stopping && self.fits_at_full_speed(attempt, task)
         };
         let oldest = self
             .tasks
             .iter()
-            .filter(|(attempt, task)| fits(attempt, task))
-            .min_by_key(|(_, task)| task.order)
+            .filter(|(attempt, task)| is_restorable(attempt, task))
+            .min_by_key(|(_, task)| task.admission_order)
             .map(|(attempt, _)| attempt.clone())?;
         let task = self.tasks.get_mut(&oldest)?;
         task.throttled_at = None;
         task.restored_at = Some(now);
         // Reserved until measured again, so that nothing else takes the room meanwhile.
-        task.held.measured = task.held.measured.max(&task.full);
-        Some(Relief::Restore(oldest))
+        task.demand.measured = task.demand.measured.max(&task.full_usage);
+        Some(LimitAction::Restore(oldest))
     }
 
     fn fits_at_full_speed(&self, attempt: &AttemptId, task: &Reservation) -> bool {
         let Some(limits) = &self.limits else { return false };
-        let full = task.held.need.max(&task.full);
+        let full_usage = task.demand.need.max(&task.full_usage);
         let others = self.tasks.iter().filter(|(other, _)| *other != attempt);
-        let class = others.clone().filter(|(_, other)| other.held.class == task.held.class);
-        let class_fits = limits
-            .classes
-            .get(&task.held.class)
-            .is_none_or(|limit| sum(class.map(|(_, other)| other)).plus(&full).fits_in(limit));
+        let class = others.clone().filter(|(_, other)| other.demand.class == task.demand.class);
+        let class_fits = limits.classes.get(&task.demand.class).is_none_or(|limit| {
+            sum(class.map(|(_, other)| other)).plus(&full_usage).fits_in(limit)
+        });
         class_fits
-            && sum(others.map(|(_, other)| other)).plus(&full).fits_in(&self.enforced_capacity())
+            && sum(others.map(|(_, other)| other))
+                .plus(&full_usage)
+                .fits_in(&self.enforced_capacity())
     }
 
     fn enforced_capacity(&self) -> Resources {
         let Some(limits) = &self.limits else { return self.capacity };
-        let room = self.capacity.minus(&limits.service);
+        let available = self.capacity.minus(&limits.service);
         match &limits.closing {
-            Some(closing) if closing.enforced => room.min(&closing.batch),
-            _ => room,
+            Some(closing) if closing.enforced => available.min(&closing.batch),
+            _ => available,
         }
     }
 
@@ -342,34 +353,34 @@
         counted: impl Fn(&Reservation) -> bool,
     ) -> Option<(Option<String>, Resources)> {
         let tasks = || self.tasks.values().filter(|task| counted(task));
-        let over = sum(tasks()).minus(&self.enforced_capacity());
-        if !over.is_zero() {
-            return Some((None, over));
+        let overuse = sum(tasks()).minus(&self.enforced_capacity());
+        if !overuse.is_zero() {
+            return Some((None, overuse));
         }
         let classes = &self.limits.as_ref()?.classes;
         classes.iter().find_map(|(class, limit)| {
-            let over = sum(tasks().filter(|task| task.held.class == *class)).minus(limit);
-            (!over.is_zero()).then(|| (Some(class.clone()), over))
+            let overuse = sum(tasks().filter(|task| task.demand.class == *class)).minus(limit);
+            (!overuse.is_zero()).then(|| (Some(class.clone()), overuse))
         })
     }
 
     /// Newest task that holds some of what is exceeded. Work outside a closing goes first, urgent
     /// work last.
-    fn newest(&self, class: Option<&str>, over: &Resources) -> Option<AttemptId> {
+    fn newest_offender(&self, class: Option<&str>, overuse: &Resources) -> Option<AttemptId> {
         let closing = self.limits.as_ref().and_then(|limits| limits.closing.as_ref());
-        let belongs = |task: &Reservation| {
-            closing.is_some_and(|closing| closing.classes.contains(&task.held.class))
+        let in_closing = |task: &Reservation| {
+            closing.is_some_and(|closing| closing.classes.contains(&task.demand.class))
         };
         self.tasks
             .iter()
             .filter(|(_, task)| !task.stopping)
-            .filter(|(_, task)| class.is_none_or(|class| class == task.held.class))
-            .filter(|(_, task)| !over.min(&task.amount()).is_zero())
-            .max_by_key(|(_, task)| (!task.held.urgent, !belongs(task), task.order))
+            .filter(|(_, task)| class.is_none_or(|class| class == task.demand.class))
+            .filter(|(_, task)| !overuse.min(&task.reserved_amount()).is_zero())
+            .max_by_key(|(_, task)| (!task.demand.urgent, !in_closing(task), task.admission_order))
             .map(|(attempt, _)| attempt.clone())
     }
 }
 
 fn sum<'a>(tasks: impl Iterator<Item = &'a Reservation>) -> Resources {
-    tasks.fold(Resources::default(), |sum, task| sum.plus(&task.amount()))
+    tasks.fold(Resources::default(), |sum, task| sum.plus(&task.reserved_amount()))
 }
--- a/crates/core/src/tasks/effects.rs
+++ b/crates/core/src/tasks/effects.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 
-use crate::ledger::Relief;
+use crate::ledger::LimitAction;
 use crate::message::report::{AttemptId, Outcome};
 use crate::tasks::worker::{Claim, StartTask, TaskLease};
 use crate::time::Time;
@@ -15,8 +15,8 @@
         let Some(clock) = self.clock else { return Vec::new() };
         self.admit_waiting(now);
         self.expire(now);
-        for relief in self.ledger.relieve(now) {
-            self.relieve(relief);
+        for relief in self.ledger.enforce_limits(now) {
+            self.enforce_limits(relief);
         }
         // Leases first: a slow worker must not let them end.
         let mut actions: Vec<Action> = self.renew_action(now, &clock).into_iter().collect();
@@ -173,13 +173,13 @@
         }
     }
 
-    fn relieve(&mut self, relief: Relief) {
+    fn enforce_limits(&mut self, relief: LimitAction) {
         match relief {
-            Relief::Evict(id) => {
+            LimitAction::Evict(id) => {
                 self.stop_attempt(&id, Cause::Evicted, true, "usage exceeds the VM's capacity");
             }
-            Relief::Throttle(id) => self.event("growth_throttled", Some(&id), String::new()),
-            Relief::Restore(id) => self.event("growth_restored", Some(&id), String::new()),
+            LimitAction::Throttle(id) => self.event("growth_throttled", Some(&id), String::new()),
+            LimitAction::Restore(id) => self.event("growth_restored", Some(&id), String::new()),
         }
     }
 
--- a/crates/core/src/tasks/listing.rs
+++ b/crates/core/src/tasks/listing.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 
-use crate::ledger::Held;
+use crate::ledger::TaskDemand;
 use crate::message::report::{AttemptId, Outcome};
 use crate::resources::Resources;
 use crate::tasks::worker::{WorkerList, WorkerOutcome, WorkerTask};
@@ -73,7 +73,7 @@
         if !self.attempts.contains_key(id) {
             self.adopt(asked_at, now, worker_ms, task);
         }
-        self.ledger.measure(now, id, task.usage);
+        self.ledger.record_usage(now, id, task.usage);
         let Some(attempt) = self.attempts.get_mut(id) else { return };
         attempt.worker_speed = task.speed_percent;
         attempt.confirmed.get_or_insert(now);
@@ -92,7 +92,7 @@
         let left = task.valid_until_ms.saturating_sub(worker_ms);
         // The worker read its clock after `asked_at`, so this is not later than the lease's end.
         let lease_until = asked_at + Time::from_millis(left);
-        let held = Held {
+        let held = TaskDemand {
             class: task.class.clone(),
             need: task.need,
             urgent: task.urgent,
--- a/crates/core/src/tasks/orders.rs
+++ b/crates/core/src/tasks/orders.rs
@@ -1,6 +1,6 @@
 //! Orders of the cell's owner.
 
-use crate::ledger::Held;
+use crate::ledger::TaskDemand;
 use crate::message::report::{AttemptId, Orders, Outcome, StartOrder, StopOrder};
 use crate::resources::Resources;
 use crate::time::Time;
@@ -147,8 +147,12 @@
         let key = (id.job.clone(), id.task);
         // Usage of an earlier attempt corrects a wrong declaration.
         let measured = self.memory.get(&key).map(|memory| memory.measured).unwrap_or_default();
-        let held =
-            Held { class: order.class.clone(), need: order.need, urgent: order.urgent, measured };
+        let held = TaskDemand {
+            class: order.class.clone(),
+            need: order.need,
+            urgent: order.urgent,
+            measured,
+        };
         if let Err(refusal) = self.ledger.admit(id.clone(), held) {
             return self.refuse(id, refusal.to_string());
         }
--- a/crates/core/tests/cell_history.rs
+++ b/crates/core/tests/cell_history.rs
@@ -70,7 +70,7 @@
     state
 }
 
-fn verdict(history: &[Fact]) -> Result<(), Violation> {
+fn check_history(history: &[Fact]) -> Result<(), Violation> {
     check(history, &replay(history)).map_err(|(violation, _)| violation)
 }
 
@@ -79,7 +79,7 @@
     let mut history = vec![submitted(), promised(), started(1), begun(1), ended(1)];
     history.extend([evicted(1, None), started(2), begun(2), ended(2), completed(2)]);
     history.push(Fact::Acknowledged(id(2)));
-    assert_eq!(verdict(&history), Ok(()));
+    assert_eq!(check_history(&history), Ok(()));
 }
 
 #[test]
@@ -108,9 +108,9 @@
     ];
     for (violation, rest) in cases {
         let history = [&begin[..], &rest].concat();
-        assert_eq!(verdict(&history), Err(violation), "history {history:?}");
+        assert_eq!(check_history(&history), Err(violation), "history {history:?}");
     }
-    assert_eq!(verdict(&[promised()]), Err(Violation::PromiseBroken));
+    assert_eq!(check_history(&[promised()]), Err(Violation::PromiseBroken));
 }
 
 #[test]
@@ -131,5 +131,5 @@
 #[test]
 fn rejects_a_second_completion() {
     let history = [submitted(), started(1), completed(1), started(1), completed(1)];
-    assert!(verdict(&history).is_err());
+    assert!(check_history(&history).is_err());
 }
--- a/crates/core/tests/cell_owner/fixture.rs
+++ b/crates/core/tests/cell_owner/fixture.rs
@@ -15,7 +15,7 @@
 use peridotfold_core::time::Time;
 
 pub const LEASE: Duration = Duration::from_secs(20);
-pub const HOLD: Duration = Duration::from_secs(600);
+pub const OUTAGE_HOLD: Duration = Duration::from_secs(600);
 
 pub fn ms(number: u64) -> Duration {
     Duration::from_millis(number)
@@ -46,7 +46,7 @@
     pub cell: Cell,
     pub now: Time,
     pub sequence: u64,
-    pub log: Vec<Event>,
+    pub committed_events: Vec<Event>,
     pub agents: Vec<(String, Vec<StartOrder>, Vec<TaskResult>)>,
     pub capacity: Resources,
     /// Usage that is reported for each task.
@@ -64,7 +64,7 @@
             cell,
             now: Time::ZERO,
             sequence: 0,
-            log: Vec::new(),
+            committed_events: Vec::new(),
             agents: agents.collect(),
             capacity: Resources::new(cpu, 64_000, 0),
             measured: Resources::default(),
@@ -85,20 +85,21 @@
 
     pub fn replay(&self) -> CellState {
         let mut state = CellState::default();
-        self.log.iter().for_each(|event| state.apply(event));
+        self.committed_events.iter().for_each(|event| state.apply(event));
         state
     }
 
     pub fn commit(&mut self) -> Vec<Effect> {
-        self.log.extend(self.cell.take_batch());
-        self.cell.note_commit();
+        self.committed_events.extend(self.cell.take_batch());
+        self.cell.confirm_commit();
         self.cell.take_effects()
     }
 
     pub fn report(&mut self, agent: usize, epoch: u64) -> Orders {
         self.sequence += 1;
         let (id, running, results) = &self.agents[agent];
-        let held = running.iter().fold(Resources::default(), |sum, start| sum.plus(&start.need));
+        let reserved =
+            running.iter().fold(Resources::default(), |sum, start| sum.plus(&start.need));
         let tasks = running.iter().map(|start| RunningTask {
             attempt: start.attempt.clone(),
             measured: self.measured,
@@ -114,8 +115,8 @@
             state: AgentState::Ready,
             epoch,
             batch_capacity: self.capacity,
-            free: self.capacity.minus(&held),
-            urgent_free: self.capacity.minus(&held),
+            free: self.capacity.minus(&reserved),
+            urgent_free: self.capacity.minus(&reserved),
             running: tasks.collect(),
             results: results.clone(),
             pressure_percent: 0,
@@ -124,7 +125,7 @@
         self.cell.answer(self.now, id, 1, self.sequence).expect("the owner")
     }
 
-    pub fn obey(&mut self, agent: usize, orders: Orders) -> usize {
+    pub fn apply_orders(&mut self, agent: usize, orders: Orders) -> usize {
         let (_, running, results) = &mut self.agents[agent];
         results.retain(|result| !orders.acknowledged.contains(&result.attempt));
         for stop in orders.stops {
@@ -140,11 +141,11 @@
     /// Time passes; each agent reports; the owner places and commits; orders reach the agents.
     pub fn round(&mut self, step: Duration) -> usize {
         self.now += step;
-        self.cell.note_store(self.now);
+        self.cell.record_store_contact(self.now);
         let mut starts = 0;
         for agent in 0..self.agents.len() {
             let orders = self.report(agent, self.cell.epoch());
-            starts += self.obey(agent, orders);
+            starts += self.apply_orders(agent, orders);
         }
         self.cell.poll(self.now);
         self.commit();
--- a/crates/core/tests/cell_owner/main.rs
+++ b/crates/core/tests/cell_owner/main.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use peridotfold_core::cell::state::{Phase, ENDED_KEPT};
+use peridotfold_core::cell::state::{Phase, MAX_ENDED_JOBS};
 use peridotfold_core::cell::{
     Cell, CellSettings, CellState, Effect, Event, JobSpec, Limits, SubmitReply,
 };
@@ -13,7 +13,7 @@
 use peridotfold_core::resources::Resources;
 use peridotfold_core::time::lease_wait;
 
-use fixture::{limits, ms, spec, Fixture, HOLD, LEASE};
+use fixture::{limits, ms, spec, Fixture, LEASE, OUTAGE_HOLD};
 
 /// Guards against a burst of cancellations that fills the batches before a start.
 #[test]
@@ -48,7 +48,8 @@
 /// Guards against a successor that starts a task again while a paused owner may still renew it.
 #[test]
 fn unconfirmed_attempts_wait_for_the_outage_hold_unless_released() {
-    for (clean, wait) in [(true, lease_wait(LEASE)), (false, lease_wait(LEASE) + HOLD * 102 / 100)]
+    for (clean, wait) in
+        [(true, lease_wait(LEASE)), (false, lease_wait(LEASE) + OUTAGE_HOLD * 102 / 100)]
     {
         let mut fixture = Fixture::new(1, 4_000, 1 << 40);
         fixture.submit(spec("job", "normal", 1, 1_000));
@@ -63,7 +64,7 @@
         let start = fixture.now;
         while !fixture.cell.state().jobs["job"].attempts.is_empty() {
             fixture.now += ms(250);
-            fixture.cell.note_store(fixture.now);
+            fixture.cell.record_store_contact(fixture.now);
             fixture.cell.poll(fixture.now);
         }
         let waited = fixture.now - start;
@@ -170,7 +171,7 @@
 #[test]
 fn grants_stop_after_the_outage_hold() {
     let mut fixture = Fixture::new(1, 4_000, 1 << 40);
-    fixture.now += HOLD - ms(1);
+    fixture.now += OUTAGE_HOLD - ms(1);
     assert_eq!(fixture.report(0, 1).lease, LEASE);
     fixture.now += ms(1);
     assert_eq!(fixture.report(0, 1).lease, Duration::ZERO);
@@ -326,12 +327,12 @@
 #[test]
 fn the_oldest_ended_jobs_are_forgotten() {
     let mut state = CellState::default();
-    for number in 0..ENDED_KEPT + 5 {
+    for number in 0..MAX_ENDED_JOBS + 5 {
         let job = format!("job-{number}");
         state.apply(&Event::Submitted { spec: spec(&job, "normal", 1, 1), urgent: false });
         state.apply(&Event::CancelRequested { job });
     }
-    assert_eq!(state.jobs.len(), ENDED_KEPT);
+    assert_eq!(state.jobs.len(), MAX_ENDED_JOBS);
     assert!(!state.jobs.contains_key("job-4") && state.jobs.contains_key("job-5"));
 }
 
--- a/crates/core/tests/composed/world.rs
+++ b/crates/core/tests/composed/world.rs
@@ -9,7 +9,7 @@
 use peridotfold_core::resources::Resources;
 use peridotfold_core::time::Time;
 
-use crate::cell_world::{ms, Answer, CellWorld, Ended, Input, Timing};
+use crate::cell_world::{ms, Answer, CellWorld, Input, RunResult, Timing};
 use crate::schedules;
 use crate::vm::Vm;
 
@@ -21,13 +21,13 @@
     settings: CellSettings {
         lease: Duration::from_secs(4),
         outage_hold: Duration::from_secs(8),
-        settle: Duration::from_secs(2),
+        discovery_period: Duration::from_secs(2),
         silent: Duration::from_secs(3),
     },
     faults_end: FAULTS_END,
-    give_up: Duration::from_secs(400),
-    usual_ms: 60,
-    late_ms: 10_000,
+    time_limit: Duration::from_secs(400),
+    max_delay_ms: 60,
+    max_late_ms: 10_000,
     late_one_in: 40,
 };
 const DETECTION: Duration = Duration::from_secs(2);
@@ -126,7 +126,7 @@
 }
 
 impl World {
-    pub fn run(seed: u64) -> Ended {
+    pub fn run(seed: u64) -> RunResult {
         let mut world = World::new(seed);
         while let Some(input) = world.cell.next() {
             world.handle(input);
@@ -202,7 +202,7 @@
             WorldInput::SplitBrain => self.begin_split_brain(),
             WorldInput::CutOwner(SplitBrain { former, .. }) => {
                 let until = self.cell.now + ms(self.cell.rng.u64(6_000..10_000));
-                self.cell.owners[former].cut_until = until.min(FAULTS_END);
+                self.cell.owners[former].store_cut_until = until.min(FAULTS_END);
                 self.cell.after(DETECTION, Input::TakeOver);
             }
             WorldInput::ToSuccessor(split_brain) => self.report_to_successor(split_brain),
@@ -229,7 +229,7 @@
                 self.cell.after(DETECTION, Input::TakeOver);
             }
             Fault::CutOwner => {
-                self.cell.owners[current].cut_until = until.min(FAULTS_END);
+                self.cell.owners[current].store_cut_until = until.min(FAULTS_END);
                 self.cell.after(DETECTION, Input::TakeOver);
             }
             Fault::ReleaseOwner => {
@@ -302,7 +302,7 @@
             vm.check_capacity();
         }
         // A cancellation that crosses the result.
-        if ended && !self.cell.is_calm() && self.cell.rng.u8(..8) == 0 {
+        if ended && !self.cell.faults_ended() && self.cell.rng.u8(..8) == 0 {
             let job = self.cell.rng.usize(0..self.cell.jobs.len());
             let delay = ms(self.cell.rng.u64(0..300));
             self.cell.after(delay, Input::Cancel(job));
@@ -311,7 +311,7 @@
 
     fn step_vms(&mut self) {
         self.after(VM_STEP, WorldInput::Vms);
-        let faulty = !self.cell.is_calm();
+        let faulty = !self.cell.faults_ended();
         for index in 0..VMS {
             if self.vms[index].land_flights(self.cell.now) {
                 self.observe();
@@ -377,7 +377,7 @@
 
     fn boot(&mut self, vm: usize, owner: Option<usize>) {
         let newest = self.cell.newest();
-        let former = !self.cell.is_calm() && self.cell.rng.bool();
+        let former = !self.cell.faults_ended() && self.cell.rng.bool();
         let any = if former { newest.saturating_sub(1) } else { newest };
         let owner = owner.unwrap_or(any);
         let incarnation = self.cell.rng.u64(1..);
@@ -387,7 +387,7 @@
 
     /// Sends the next report, unless another one is sent before.
     fn send_report(&mut self, vm: usize, incarnation: Incarnation, sequence: u64) {
-        let (newest, calm) = (self.cell.newest(), self.cell.is_calm());
+        let (newest, calm) = (self.cell.newest(), self.cell.faults_ended());
         let keeps = !calm && self.cell.rng.u8(0..4) > 0;
         // An agent may hear of the former owner from an entry that is behind.
         let goes_back = !calm && self.cell.rng.u8(0..25) == 0;
@@ -430,7 +430,7 @@
 
     fn obey(&mut self, answer: Answer) {
         let Some(vm) = self.vms.iter().position(|vm| vm.id == answer.agent) else { return };
-        let calm = self.cell.is_calm();
+        let calm = self.cell.faults_ended();
         let state = &mut self.vms[vm];
         let clock = state.clock(self.cell.now);
         let until = state.frozen_until;
--- a/crates/core/tests/ledger.rs
+++ b/crates/core/tests/ledger.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use fastrand::Rng;
-use peridotfold_core::ledger::{ClosingLimit, Held, Ledger, Limits, Refusal, Relief};
+use peridotfold_core::ledger::{ClosingLimit, Ledger, LimitAction, Limits, Refusal, TaskDemand};
 use peridotfold_core::message::report::{AttemptId, Token};
 use peridotfold_core::resources::Resources;
 
@@ -16,8 +16,8 @@
 /// Steps without growth and admissions in which everything above a limit has to be freed: each task may need a
 /// throttle, a wait of two lags and a confirmed stop.
 const SETTLE_STEPS: u64 = 400;
-const STEP: Duration = Duration::from_millis(500);
-const LAG: Duration = Duration::from_secs(1);
+const STEP_INTERVAL: Duration = Duration::from_millis(500);
+const MEASUREMENT_LAG: Duration = Duration::from_secs(1);
 const CAPACITY: Resources = Resources::new(16_000, 60_000, 2);
 const SERVICE: Resources = Resources::new(10_000, 20_000, 0);
 const CLASS_LIMIT: Resources = Resources::new(5_000, 30_000, 1);
@@ -32,7 +32,7 @@
 }
 
 struct Task {
-    held: Held,
+    demand: TaskDemand,
     /// Usage at full speed, whatever was declared.
     usage: Resources,
     speed: u64,
@@ -51,10 +51,10 @@
 
 impl World {
     fn new(seed: u64) -> World {
-        let mut ledger = Ledger::new(CAPACITY, LAG);
+        let mut ledger = Ledger::new(CAPACITY, MEASUREMENT_LAG);
         let refused = ledger.admit(
             id(0),
-            Held {
+            TaskDemand {
                 class: "rebuild".into(),
                 need: Resources::new(1, 1, 0),
                 urgent: false,
@@ -74,41 +74,41 @@
         }
     }
 
-    fn held(&self) -> Resources {
-        let amounts = self.tasks.values().map(|task| task.held.need.max(&task.held.measured));
+    fn total_held(&self) -> Resources {
+        let amounts = self.tasks.values().map(|task| task.demand.need.max(&task.demand.measured));
         amounts.fold(Resources::default(), |sum, amount| sum.plus(&amount))
     }
 
     fn declared(&self) -> Resources {
-        let needs = self.tasks.values().map(|task| task.held.need);
+        let needs = self.tasks.values().map(|task| task.demand.need);
         needs.fold(Resources::default(), |sum, need| sum.plus(&need))
     }
 
     fn class_held(&self, class: &str) -> Resources {
-        let tasks = self.tasks.values().filter(|task| task.held.class == class);
+        let tasks = self.tasks.values().filter(|task| task.demand.class == class);
         tasks.fold(Resources::default(), |sum, task| {
-            sum.plus(&task.held.need.max(&task.held.measured))
+            sum.plus(&task.demand.need.max(&task.demand.measured))
         })
     }
 
     fn step(&mut self) {
-        let kind = self.rng.u8(..100);
-        match kind {
+        let percentile = self.rng.u8(..100);
+        match percentile {
             75.. => {}
-            _ if !schedules::step(|| format!("{:?} kind {kind}", self.now)) => {}
+            _ if !schedules::step(|| format!("{:?} kind {percentile}", self.now)) => {}
             0..40 => self.admit(),
             40..60 => self.grow(),
             60..63 => self.change_closing(),
             63..66 => self.restart(),
             _ => self.finish_one(),
         }
-        self.settle();
+        self.run_round();
     }
 
-    fn settle(&mut self) {
-        self.now += STEP;
-        self.measure();
-        self.relieve();
+    fn run_round(&mut self) {
+        self.now += STEP_INTERVAL;
+        self.record_usage();
+        self.enforce_limits();
         self.confirm_stops();
         self.check();
     }
@@ -120,7 +120,7 @@
             u64::from(self.rng.u8(..10) == 0),
         );
         let class = ["rebuild", "report", "watch"][self.rng.usize(..3)];
-        let held = Held {
+        let demand = TaskDemand {
             class: class.into(),
             need,
             urgent: self.rng.u8(..8) == 0,
@@ -128,11 +128,11 @@
         };
         let new = id(self.next);
         self.next += 1;
-        let over = self.ledger.is_over();
-        let result = self.ledger.admit(new.clone(), held.clone());
-        if over {
+        let overcommitted = self.ledger.is_overcommitted();
+        let result = self.ledger.admit(new.clone(), demand.clone());
+        if overcommitted {
             assert!(
-                matches!(result, Err(Refusal::Relieving | Refusal::NotInClosing)),
+                matches!(result, Err(Refusal::Overcommitted | Refusal::NotInClosing)),
                 "admitted while over: {result:?}"
             );
         }
@@ -140,23 +140,23 @@
             Ok(()) => {
                 let percent = self.rng.u64(20..400);
                 let usage = Resources::new(need.cpu_milli * percent / 100, need.memory_mib, 0);
-                let task = Task { held: held.clone(), usage, speed: 100, throttled_at: None };
+                let task = Task { demand: demand.clone(), usage, speed: 100, throttled_at: None };
                 self.tasks.insert(new, task);
-                let sum = self.held();
+                let sum = self.total_held();
                 assert!(sum.fits_in(&CAPACITY.minus(&SERVICE)), "over capacity: {sum:?}");
-                assert!(sum.fits_in(&self.batch_limit(held.urgent)), "over the batch limit");
+                assert!(sum.fits_in(&self.batch_limit(demand.urgent)), "over the batch limit");
                 assert!(self.class_held(class).fits_in(&CLASS_LIMIT), "over the class limit");
             }
-            Err(Refusal::Capacity { need, room }) => assert!(!need.fits_in(&room)),
-            Err(Refusal::ClassLimit { need, room }) => assert!(!need.fits_in(&room)),
+            Err(Refusal::Capacity { need, available }) => assert!(!need.fits_in(&available)),
+            Err(Refusal::ClassLimit { need, available }) => assert!(!need.fits_in(&available)),
             Err(Refusal::NotInClosing) => {
                 let closing = self.limits.closing.as_ref().unwrap();
                 assert!(!closing.classes.iter().any(|other| other == class));
             }
             Err(refusal) => {
-                assert_eq!(refusal, Refusal::Relieving);
-                let exceeds = !self.ledger.reserved().fits_in(&self.batch_limit(held.urgent));
-                assert!(over || exceeds, "refused without a reason");
+                assert_eq!(refusal, Refusal::Overcommitted);
+                let exceeds = !self.ledger.reserved().fits_in(&self.batch_limit(demand.urgent));
+                assert!(overcommitted || exceeds, "refused without a reason");
             }
         }
     }
@@ -194,12 +194,12 @@
 
     /// An agent restarts and adopts what runs.
     fn restart(&mut self) {
-        self.ledger = Ledger::new(CAPACITY, LAG);
+        self.ledger = Ledger::new(CAPACITY, MEASUREMENT_LAG);
         self.ledger.set_limits(self.limits.clone());
         for (attempt, task) in &mut self.tasks {
             task.throttled_at = None;
             task.speed = 100;
-            self.ledger.adopt(attempt.clone(), task.held.clone());
+            self.ledger.adopt(attempt.clone(), task.demand.clone());
         }
         self.stopping.clear();
     }
@@ -218,46 +218,49 @@
         assert!(!self.ledger.holds(attempt));
     }
 
-    fn measure(&mut self) {
+    fn record_usage(&mut self) {
         for (attempt, task) in &mut self.tasks {
             if self.rng.u8(..100) < 70 {
                 let cpu = task.usage.cpu_milli * task.speed / 100;
                 let usage = Resources::new(cpu, task.usage.memory_mib, task.usage.accelerators);
                 if !usage.is_zero() {
-                    task.held.measured = usage;
+                    task.demand.measured = usage;
                 }
-                self.ledger.measure(self.now, attempt, usage);
+                self.ledger.record_usage(self.now, attempt, usage);
             }
         }
     }
 
-    fn relieve(&mut self) {
-        let over = self.ledger.is_over();
-        for relief in self.ledger.relieve(self.now) {
-            match relief {
-                Relief::Throttle(attempt) => {
-                    assert!(over, "throttled without need");
+    fn enforce_limits(&mut self) {
+        let overcommitted = self.ledger.is_overcommitted();
+        for action in self.ledger.enforce_limits(self.now) {
+            match action {
+                LimitAction::Throttle(attempt) => {
+                    assert!(overcommitted, "throttled without need");
                     assert!(!self.stopping.contains(&attempt));
                     let task = self.tasks.get_mut(&attempt).unwrap();
                     task.throttled_at = Some(self.now);
                     task.speed = 50;
                     assert_eq!(self.ledger.speed(&attempt), 50);
                 }
-                Relief::Evict(attempt) => {
+                LimitAction::Evict(attempt) => {
                     let task = &self.tasks[&attempt];
                     let since = task.throttled_at.expect("evicted without a throttle");
-                    assert!(self.now >= since + LAG * 2, "evicted before the throttle shows");
+                    assert!(
+                        self.now >= since + MEASUREMENT_LAG * 2,
+                        "evicted before the throttle shows"
+                    );
                     let before = self.ledger.reserved();
                     self.ledger.mark_stopping(&attempt);
                     assert_eq!(before, self.ledger.reserved(), "freed before the confirmation");
                     assert!(self.stopping.insert(attempt), "evicted twice");
                 }
-                Relief::Restore(attempt) => {
-                    assert!(!over, "restored while over");
+                LimitAction::Restore(attempt) => {
+                    assert!(!overcommitted, "restored while over");
                     let task = self.tasks.get_mut(&attempt).unwrap();
                     task.throttled_at = None;
                     task.speed = 100;
-                    assert!(!self.ledger.is_over(), "a restore took too much");
+                    assert!(!self.ledger.is_overcommitted(), "a restore took too much");
                 }
             }
         }
@@ -273,7 +276,7 @@
 
     fn check(&self) {
         let reserved = self.ledger.reserved();
-        assert!(self.held().fits_in(&reserved), "reserves less than declared and measured");
+        assert!(self.total_held().fits_in(&reserved), "reserves less than declared and measured");
         let assigned = self.declared();
         assert!(assigned.fits_in(&CAPACITY.minus(&SERVICE)), "assigned over capacity");
         assert_eq!(self.ledger.batch_capacity(), self.batch_limit(false));
@@ -294,9 +297,12 @@
         }
         // Whatever is admitted may be declared too small, so nothing is while it settles.
         for _ in 0..SETTLE_STEPS {
-            world.settle();
+            world.run_round();
         }
-        assert!(!world.ledger.is_over(), "seed {seed}: still over after {SETTLE_STEPS} steps");
+        assert!(
+            !world.ledger.is_overcommitted(),
+            "seed {seed}: still over after {SETTLE_STEPS} steps"
+        );
         1
     });
 }
@@ -305,13 +311,13 @@
 /// the closing's own work first.
 #[test]
 fn closing_frees_its_room_from_other_classes_first() {
-    let mut ledger = Ledger::new(CAPACITY, LAG);
+    let mut ledger = Ledger::new(CAPACITY, MEASUREMENT_LAG);
     ledger.set_limits(limits(None));
     for (number, class) in [(1, "watch"), (2, "report")] {
         let need = Resources::new(2_000, 2_000, 0);
-        let held =
-            Held { class: class.into(), need, urgent: false, measured: Resources::default() };
-        ledger.admit(id(number), held).unwrap();
+        let demand =
+            TaskDemand { class: class.into(), need, urgent: false, measured: Resources::default() };
+        ledger.admit(id(number), demand).unwrap();
     }
     let closing = ClosingLimit {
         batch: Resources::new(2_000, 10_000, 0),
@@ -319,35 +325,35 @@
         enforced: false,
     };
     ledger.set_limits(limits(Some(closing.clone())));
-    assert!(ledger.relieve(Duration::ZERO).is_empty(), "enforced during the preparation");
+    assert!(ledger.enforce_limits(Duration::ZERO).is_empty(), "enforced during the preparation");
     ledger.set_limits(limits(Some(ClosingLimit { enforced: true, ..closing })));
-    assert_eq!(ledger.relieve(Duration::ZERO), [Relief::Throttle(id(1))]);
-    assert_eq!(ledger.relieve(LAG * 2), [Relief::Evict(id(1))]);
+    assert_eq!(ledger.enforce_limits(Duration::ZERO), [LimitAction::Throttle(id(1))]);
+    assert_eq!(ledger.enforce_limits(MEASUREMENT_LAG * 2), [LimitAction::Evict(id(1))]);
     ledger.release(&id(1));
-    assert!(ledger.relieve(LAG * 3).is_empty());
+    assert!(ledger.enforce_limits(MEASUREMENT_LAG * 3).is_empty());
 }
 
 /// Guards against urgent work that waits for minutes while a closing is prepared, and against
 /// urgent work above the limit once the closing has begun.
 #[test]
 fn urgent_work_may_exceed_the_limit_of_a_closing_that_is_only_prepared() {
-    let mut ledger = Ledger::new(CAPACITY, LAG);
+    let mut ledger = Ledger::new(CAPACITY, MEASUREMENT_LAG);
     ledger.set_limits(limits(None));
-    let held = |cpu, urgent| Held {
+    let demand = |cpu, urgent| TaskDemand {
         class: if urgent { "rebuild" } else { "watch" }.into(),
         need: Resources::new(cpu, 2_000, 0),
         urgent,
         measured: Resources::default(),
     };
-    ledger.admit(id(1), held(4_000, false)).unwrap();
+    ledger.admit(id(1), demand(4_000, false)).unwrap();
     let batch = Resources::new(3_000, 10_000, 0);
     let closing = ClosingLimit { batch, classes: Vec::new(), enforced: false };
     ledger.set_limits(limits(Some(closing.clone())));
-    assert_eq!(ledger.admit(id(2), held(100, false)), Err(Refusal::Relieving));
+    assert_eq!(ledger.admit(id(2), demand(100, false)), Err(Refusal::Overcommitted));
     assert_eq!(ledger.urgent_free().cpu_milli, 2_000);
-    ledger.admit(id(3), held(1_000, true)).unwrap();
-    assert!(matches!(ledger.admit(id(4), held(1_001, true)), Err(Refusal::Capacity { .. })));
+    ledger.admit(id(3), demand(1_000, true)).unwrap();
+    assert!(matches!(ledger.admit(id(4), demand(1_001, true)), Err(Refusal::Capacity { .. })));
     ledger.set_limits(limits(Some(ClosingLimit { enforced: true, ..closing })));
-    assert_eq!(ledger.admit(id(5), held(100, true)), Err(Refusal::Relieving));
+    assert_eq!(ledger.admit(id(5), demand(100, true)), Err(Refusal::Overcommitted));
     assert_eq!(ledger.urgent_free().cpu_milli, 0);
 }
--- a/crates/core/tests/support/cell_world.rs
+++ b/crates/core/tests/support/cell_world.rs
@@ -63,13 +63,13 @@
     pub slow_until: Time,
 }
 
-pub struct Ended {
+pub struct RunResult {
     pub history: Vec<Fact>,
     pub end: CellState,
     pub ended_at: Time,
 }
 
-impl Ended {
+impl RunResult {
     /// # Panics
     ///
     /// Panics when the history breaks a rule.
@@ -85,10 +85,10 @@
     pub settings: CellSettings,
     /// From here messages arrive once and soon.
     pub faults_end: Time,
-    pub give_up: Time,
+    pub time_limit: Time,
     /// Limits of the usual and of the late delays of messages, in milliseconds.
-    pub usual_ms: u64,
-    pub late_ms: u64,
+    pub max_delay_ms: u64,
+    pub max_late_ms: u64,
     /// One message in this many is late.
     pub late_one_in: u8,
 }
@@ -98,7 +98,7 @@
     pub rng: Rng,
     timing: Timing,
     inputs: BTreeMap<(Time, u64), Input<I>>,
-    count: u64,
+    last_number: u64,
     pub store: Store,
     pub owners: Vec<Owner>,
     pub jobs: Vec<JobSpec>,
@@ -114,7 +114,7 @@
             rng,
             timing,
             inputs: BTreeMap::new(),
-            count: 0,
+            last_number: 0,
             store: Store::default(),
             owners: Vec::new(),
             jobs: Vec::new(),
@@ -127,7 +127,7 @@
     /// Handles inputs up to the next one of the world; `None` when the schedule has ended.
     pub fn next(&mut self) -> Option<I> {
         while !(self.now > self.timing.faults_end && self.is_done()
-            || self.now > self.timing.give_up)
+            || self.now > self.timing.time_limit)
         {
             let ((at, _), input) = self.inputs.pop_first()?;
             self.now = at;
@@ -141,9 +141,9 @@
         None
     }
 
-    pub fn end(self) -> Ended {
+    pub fn end(self) -> RunResult {
         let end = self.store.journal.replay();
-        Ended { history: self.history, end, ended_at: self.now }
+        RunResult { history: self.history, end, ended_at: self.now }
     }
 
     pub fn add_job(&mut self, job: JobSpec, submit_at: Time) -> usize {
@@ -154,11 +154,11 @@
     }
 
     pub fn after(&mut self, delay: Duration, input: Input<I>) {
-        self.count += 1;
-        self.inputs.insert((self.now + delay, self.count), input);
+        self.last_number += 1;
+        self.inputs.insert((self.now + delay, self.last_number), input);
     }
 
-    pub fn is_calm(&self) -> bool {
+    pub fn faults_ended(&self) -> bool {
         self.now >= self.timing.faults_end
     }
 
@@ -170,14 +170,14 @@
     /// Delivers a message: late, twice, overtaken or not at all while faults last.
     pub fn deliver(&mut self, input: Input<I>) {
         let copies = match self.rng.u8(0..100) {
-            _ if self.is_calm() => 1,
+            _ if self.faults_ended() => 1,
             0..=4 => 0,
             5..=8 => 2,
             _ => 1,
         };
         for _ in 0..copies {
-            let late = !self.is_calm() && self.rng.u8(0..self.timing.late_one_in) == 0;
-            let limit = if late { self.timing.late_ms } else { self.timing.usual_ms };
+            let late = !self.faults_ended() && self.rng.u8(0..self.timing.late_one_in) == 0;
+            let limit = if late { self.timing.max_late_ms } else { self.timing.max_delay_ms };
             let delay = ms(self.rng.u64(1..limit));
             self.after(delay, input.clone());
         }
@@ -198,19 +198,19 @@
             Input::Poll(owner) => self.poll(owner),
             Input::Report { owner, report } => self.report(owner, report),
             Input::AnswerDue { owner, agent, incarnation, sequence } => {
-                if self.owners[owner].is_held(&agent, incarnation, sequence) {
+                if self.owners[owner].is_pending(&agent, incarnation, sequence) {
                     self.answer(owner, &agent);
                 }
             }
             Input::Commit { owner, batch, events, sent } => self.write(owner, batch, events, sent),
             Input::Committed { owner, batch, sent, fenced } => {
-                if self.owners[owner].committed(batch, sent, fenced) {
-                    self.wake(owner);
+                if self.owners[owner].handle_commit(batch, sent, fenced) {
+                    self.release_effects(owner);
                     self.commit_if_idle(owner);
                 }
             }
             Input::Retry { owner, batch } => {
-                if self.owners[owner].batch == batch && self.owners[owner].busy {
+                if self.owners[owner].batch == batch && self.owners[owner].is_committing {
                     self.commit(owner);
                 }
             }
@@ -225,44 +225,44 @@
         if self.now < self.store.down_until {
             return self.after(ms(500), Input::TakeOver);
         }
-        let rate = 0.99 + 0.02 * self.rng.f64();
-        let (local, rng) = (self.now.mul_f64(rate), self.rng.fork());
+        let clock_rate = 0.99 + 0.02 * self.rng.f64();
+        let (local_time, rng) = (self.now.mul_f64(clock_rate), self.rng.fork());
         let settings = self.timing.settings;
-        let cell = self.store.journal.take_over(local, settings, rng, &mut self.history);
-        self.owners.push(Owner::new(cell, rate));
+        let cell = self.store.journal.take_over(local_time, settings, rng, &mut self.history);
+        self.owners.push(Owner::new(cell, clock_rate));
         self.after(ms(100), Input::Poll(self.newest()));
     }
 
-    fn local(&self, owner: usize) -> Time {
-        self.now.mul_f64(self.owners[owner].rate)
+    fn local_time(&self, owner: usize) -> Time {
+        self.now.mul_f64(self.owners[owner].clock_rate)
     }
 
     fn reaches_store(&self, owner: usize) -> bool {
-        self.now >= self.store.down_until.max(self.owners[owner].cut_until)
+        self.now >= self.store.down_until.max(self.owners[owner].store_cut_until)
     }
 
     fn poll(&mut self, owner: usize) {
-        let (local, reached) = (self.local(owner), self.reaches_store(owner));
+        let (local_time, reached) = (self.local_time(owner), self.reaches_store(owner));
         let is_current = owner == self.newest();
         if self.owners[owner].cell.is_none() {
             return;
         }
-        if self.owners[owner].poll(local, reached, is_current) {
+        if self.owners[owner].poll(local_time, reached, is_current) {
             self.after(ms(200), Input::Poll(owner));
         }
         self.commit_if_idle(owner);
-        self.wake(owner);
+        self.release_effects(owner);
     }
 
     fn commit_if_idle(&mut self, owner: usize) {
-        if !self.owners[owner].busy {
+        if !self.owners[owner].is_committing {
             self.owners[owner].batch += 1;
             self.commit(owner);
         }
     }
 
     fn commit(&mut self, owner: usize) {
-        let (sent, batch) = (self.local(owner), self.owners[owner].batch);
+        let (sent, batch) = (self.local_time(owner), self.owners[owner].batch);
         let Some(events) = self.owners[owner].take_batch() else { return };
         let commit = Input::Commit { owner, batch, events, sent };
         match self.now < self.store.slow_until {
@@ -286,7 +286,7 @@
     }
 
     /// Releases the effects of what is committed.
-    fn wake(&mut self, owner: usize) {
+    fn release_effects(&mut self, owner: usize) {
         let Some(cell) = &mut self.owners[owner].cell else { return };
         for effect in cell.take_effects() {
             match effect {
@@ -302,7 +302,7 @@
     }
 
     fn answer_if_due(&mut self, owner: usize, agent: &str) {
-        if self.owners[owner].has_orders(self.local(owner), agent) {
+        if self.owners[owner].has_orders(self.local_time(owner), agent) {
             self.answer(owner, agent);
         }
     }
@@ -313,8 +313,8 @@
         }
         let owner = self.newest();
         self.after(ms(3_000), Input::Submit(job));
-        self.count += 1;
-        let ticket = self.count;
+        self.last_number += 1;
+        let ticket = self.last_number;
         let paused = self.owners[owner].paused_until > self.now;
         let Some(cell) = self.owners[owner].cell.as_mut().filter(|_| !paused) else { return };
         if cell.is_stopped() {
@@ -323,7 +323,7 @@
         let reply = cell.submit(self.jobs[job].clone(), ticket);
         assert!(matches!(reply, SubmitReply::Created | SubmitReply::Existing), "{reply:?}");
         self.tickets.insert(ticket, job);
-        self.wake(owner);
+        self.release_effects(owner);
     }
 
     pub fn cancel(&mut self, job: usize) {
@@ -336,8 +336,8 @@
     }
 
     fn report(&mut self, owner: usize, report: Report) {
-        let local = self.local(owner);
-        if !self.owners[owner].hold(local, &report) {
+        let local_time = self.local_time(owner);
+        if !self.owners[owner].accept_report(local_time, &report) {
             return;
         }
         let Report { agent, incarnation, sequence, results, .. } = report;
@@ -353,8 +353,8 @@
     }
 
     fn answer(&mut self, owner: usize, agent: &str) {
-        let local = self.local(owner);
-        let answered = self.owners[owner].answer(local, agent, &mut self.history);
+        let local_time = self.local_time(owner);
+        let answered = self.owners[owner].answer(local_time, agent, &mut self.history);
         let Some((incarnation, orders)) = answered else { return };
         let answer = Answer { agent: agent.to_owned(), incarnation, orders };
         self.deliver(Input::World(answer.into()));
--- a/crates/core/tests/support/owners.rs
+++ b/crates/core/tests/support/owners.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use fastrand::Rng;
-use peridotfold_core::cell::{Cell, CellSettings, CellState, Event, Limits, Received};
+use peridotfold_core::cell::{Cell, CellSettings, CellState, Event, Limits, ReportStatus};
 use peridotfold_core::id::{Epoch, Incarnation};
 use peridotfold_core::message::report::{Orders, Report};
 use peridotfold_core::resources::Resources;
@@ -16,7 +16,7 @@
 pub struct Journal {
     log: Vec<Event>,
     pub epoch: Epoch,
-    last: (Epoch, u64),
+    last_batch: (Epoch, u64),
 }
 
 impl Journal {
@@ -44,7 +44,7 @@
         });
         let events = cell.take_batch();
         self.append(events, history);
-        cell.note_commit();
+        cell.confirm_commit();
         cell
     }
 
@@ -57,12 +57,14 @@
         events: Vec<Event>,
         history: &mut Vec<Fact>,
     ) -> Option<bool> {
-        match (epoch == self.epoch, self.last) {
+        match (epoch == self.epoch, self.last_batch) {
             (false, _) => return Some(true),
-            (true, (last, newer)) if last == epoch && newer > batch => return None,
-            (true, last) if last == (epoch, batch) => {}
+            (true, (last_epoch, last_number)) if last_epoch == epoch && last_number > batch => {
+                return None
+            }
+            (true, last_batch) if last_batch == (epoch, batch) => {}
             (true, _) => {
-                self.last = (epoch, batch);
+                self.last_batch = (epoch, batch);
                 self.append(events, history);
             }
         }
@@ -79,26 +81,26 @@
 pub struct Owner {
     /// Absent once the process was killed.
     pub cell: Option<Cell>,
-    pub rate: f64,
+    pub clock_rate: f64,
     pub batch: u64,
-    pub busy: bool,
+    pub is_committing: bool,
     /// Reports that wait for their answer.
-    held: BTreeMap<String, (Incarnation, u64)>,
+    pending_reports: BTreeMap<String, (Incarnation, u64)>,
     pub paused_until: Time,
     /// Cut off from the store.
-    pub cut_until: Time,
+    pub store_cut_until: Time,
 }
 
 impl Owner {
-    pub fn new(cell: Cell, rate: f64) -> Self {
+    pub fn new(cell: Cell, clock_rate: f64) -> Self {
         Owner {
             cell: Some(cell),
-            rate,
+            clock_rate,
             batch: 0,
-            busy: false,
-            held: BTreeMap::new(),
+            is_committing: false,
+            pending_reports: BTreeMap::new(),
             paused_until: Time::ZERO,
-            cut_until: Time::ZERO,
+            store_cut_until: Time::ZERO,
         }
     }
 
@@ -106,7 +108,7 @@
     pub fn poll(&mut self, now: Time, reaches_store: bool, is_current: bool) -> bool {
         let Some(cell) = &mut self.cell else { return false };
         match reaches_store {
-            true if is_current => cell.note_store(now),
+            true if is_current => cell.record_store_contact(now),
             true => cell.stop(),
             false => {}
         }
@@ -117,36 +119,36 @@
     /// Takes the batch to write, a new one or the one whose commit is open.
     pub fn take_batch(&mut self) -> Option<Vec<Event>> {
         let events = self.cell.as_mut()?.take_batch();
-        self.busy = !events.is_empty();
-        self.busy.then_some(events)
+        self.is_committing = !events.is_empty();
+        self.is_committing.then_some(events)
     }
 
     /// Takes the answer of the journal; tells whether the batch is committed.
-    pub fn committed(&mut self, batch: u64, sent: Time, fenced: bool) -> bool {
-        let is_open = self.busy && self.batch == batch;
+    pub fn handle_commit(&mut self, batch: u64, sent: Time, fenced: bool) -> bool {
+        let is_open = self.is_committing && self.batch == batch;
         let Some(cell) = self.cell.as_mut().filter(|_| is_open) else { return false };
         if fenced {
             cell.stop();
             return false;
         }
-        cell.note_store(sent);
-        cell.note_commit();
-        self.busy = false;
+        cell.record_store_contact(sent);
+        cell.confirm_commit();
+        self.is_committing = false;
         true
     }
 
     /// Takes a report and holds it; tells whether it counts.
-    pub fn hold(&mut self, now: Time, report: &Report) -> bool {
+    pub fn accept_report(&mut self, now: Time, report: &Report) -> bool {
         let Some(cell) = &mut self.cell else { return false };
-        if cell.report(now, report) != Received::Accepted {
+        if cell.report(now, report) != ReportStatus::Accepted {
             return false;
         }
-        self.held.insert(report.agent.clone(), (report.incarnation, report.sequence));
+        self.pending_reports.insert(report.agent.clone(), (report.incarnation, report.sequence));
         true
     }
 
-    pub fn is_held(&self, agent: &str, incarnation: Incarnation, sequence: u64) -> bool {
-        self.held.get(agent) == Some(&(incarnation, sequence))
+    pub fn is_pending(&self, agent: &str, incarnation: Incarnation, sequence: u64) -> bool {
+        self.pending_reports.get(agent) == Some(&(incarnation, sequence))
     }
 
     /// Answers the held report of an agent.
@@ -156,7 +158,7 @@
         agent: &str,
         history: &mut Vec<Fact>,
     ) -> Option<(Incarnation, Orders)> {
-        let (incarnation, sequence) = self.held.remove(agent)?;
+        let (incarnation, sequence) = self.pending_reports.remove(agent)?;
         let orders = self.cell.as_mut()?.answer(now, agent, incarnation, sequence)?;
         history.extend(orders.acknowledged.iter().cloned().map(Fact::Acknowledged));
         Some((incarnation, orders))
--- a/crates/core/tests/support/world.rs
+++ b/crates/core/tests/support/world.rs
@@ -11,7 +11,7 @@
 use peridotfold_core::resources::Resources;
 use peridotfold_core::time::Time;
 
-use crate::cell_world::{ms, Answer, CellWorld, Ended, Input, Timing};
+use crate::cell_world::{ms, Answer, CellWorld, Input, RunResult, Timing};
 use crate::schedules;
 use crate::vm::Vm;
 
@@ -22,9 +22,9 @@
     Timing {
         settings: CellSettings { outage_hold, ..CellSettings::default() },
         faults_end: FAULTS_END,
-        give_up: Duration::from_secs(1_500),
-        usual_ms: 100,
-        late_ms: 30_000,
+        time_limit: Duration::from_secs(1_500),
+        max_delay_ms: 100,
+        max_late_ms: 30_000,
         late_one_in: 50,
     }
 }
@@ -80,7 +80,7 @@
 ];
 
 pub struct Judged {
-    pub outcome: Ended,
+    pub outcome: RunResult,
     /// Jobs without a flaw of their own.
     pub sound: BTreeSet<String>,
     pub faulty_vms: usize,
@@ -221,7 +221,7 @@
             Fault::CutOwner => {
                 self.cell.after(ms(6_000), Input::TakeOver);
                 let delay = self.cell.rng.u64(1_000..120_000);
-                self.cell.owners[owner].cut_until = now + ms(delay);
+                self.cell.owners[owner].store_cut_until = now + ms(delay);
             }
             Fault::ReleaseOwner => {
                 if let Some(cell) = &mut self.cell.owners[owner].cell {
@@ -265,7 +265,7 @@
 
     fn send(&mut self, vm: usize, incarnation: Incarnation, sequence: u64) {
         let newest = self.cell.newest();
-        let keeps = !self.cell.is_calm() && self.cell.rng.u8(0..4) > 0;
+        let keeps = !self.cell.faults_ended() && self.cell.rng.u8(0..4) > 0;
         let Some(agent) = &mut self.vms[vm].agent else { return };
         if agent.frozen || (agent.incarnation, agent.sequence) != (incarnation, sequence) {
             return;
--- a/crates/entry/src/cells/claim.rs
+++ b/crates/entry/src/cells/claim.rs
@@ -265,7 +265,7 @@
             Err(JournalError::Fenced) => continue,
             result => result?,
         }
-        owned.note_commit();
+        owned.confirm_commit();
         let owned = OwnedCell::open(shared, cell.clone(), epoch, owned, journal);
         owned.log(&events);
         let document = shared.document.lock().clone();
--- a/crates/entry/src/cells/owned.rs
+++ b/crates/entry/src/cells/owned.rs
@@ -8,7 +8,7 @@
 use async_channel::{Receiver, Sender};
 use futures_lite::future;
 use parking_lot::Mutex;
-use peridotfold_core::cell::{Cell, Effect, Event, Limits, Received, Ticket};
+use peridotfold_core::cell::{Cell, Effect, Event, Limits, ReportStatus, Ticket};
 use peridotfold_core::config::Document;
 use peridotfold_core::id::{AgentId, CellId, Epoch};
 use peridotfold_core::message::announce::CellOwner;
@@ -125,12 +125,12 @@
         let now = runtime::now();
         let received = self.with_state(|state| state.cell.report(now, &report));
         match received {
-            Received::Accepted => {}
-            Received::Stale => {
+            ReportStatus::Accepted => {}
+            ReportStatus::Stale => {
                 let (epoch, sequence) = (self.epoch, report.sequence);
                 return Some(Orders { epoch, sequence, ..Orders::default() });
             }
-            Received::NotOwner => {
+            ReportStatus::NotOwner => {
                 if report.epoch > self.epoch {
                     self.end("a report names a higher epoch");
                 }
@@ -216,8 +216,8 @@
             Ok(()) => {
                 self.log(&events);
                 self.with_state(|state| {
-                    state.cell.note_store(start);
-                    state.cell.note_commit();
+                    state.cell.record_store_contact(start);
+                    state.cell.confirm_commit();
                 });
                 true
             }
@@ -241,7 +241,7 @@
             match self.shared.store.get(&owner_key(&self.id)).await {
                 Ok(Some(found)) => match OwnerRecord::decode(&found) {
                     Some(record) if self.is_own(&record) => {
-                        self.state.lock().cell.note_store(start);
+                        self.state.lock().cell.record_store_contact(start);
                     }
                     _ => self.end("another owner is recorded"),
                 },
@@ -290,13 +290,13 @@
             state.cell.release();
             state.held.clear();
         });
-        while self.state.lock().cell.has_unwritten() && runtime::now() < deadline {
+        while self.state.lock().cell.has_pending_events() && runtime::now() < deadline {
             runtime::sleep(POLL).await;
             if self.has_ended() {
                 return;
             }
         }
-        let is_done = !self.state.lock().cell.has_unwritten();
+        let is_done = !self.state.lock().cell.has_pending_events();
         if is_done && self.mark_released().await {
             tracing::info!(event = "cell_released", cell = self.id, epoch = self.epoch);
         } else {
