--- a/crates/core/src/cell/answer.rs
+++ b/crates/core/src/cell/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to reports: leases, orders and acknowledgements.
+//! Answers to agents' reports: leases, start and stop orders, and acknowledgements of results.
 
 use std::time::Duration;
 
@@ -9,16 +9,20 @@
 use crate::message::report::{AttemptId, Orders, StartOrder, StopOrder};
 use crate::time::{lease_wait, Time};
 
-/// A stop that the agent's reports do not reflect is repeated after this time.
+/// Time after which a stop order is sent again if the agent's reports still list the attempt.
 const STOP_RESEND_INTERVAL: Duration = Duration::from_secs(1);
-/// A start that a newer report does not list is repeated after this time: the answer was lost.
+/// Time after which a start order is sent again if a newer report does not list the attempt, which
+/// means that the answer with the order was lost.
 const START_RESEND_INTERVAL: Duration = Duration::from_millis(200);
-/// Starts in one answer: with commands of 4 KB they stay far below the frame limit of 1 MB.
+/// Most start orders in one answer. With commands of 4 KB, the answer stays far below the frame
+/// limit of 1 MB.
 const MAX_STARTS_PER_ANSWER: usize = 64;
+/// Most stop orders in one answer.
 const MAX_STOPS_PER_ANSWER: usize = 512;
 
 impl Cell {
-    /// Tells whether a report of this agent has to be answered at once.
+    /// Tells whether the open report of this agent has to be answered at once, because orders,
+    /// acknowledgements, a challenge or a new epoch are waiting for it.
     pub fn has_orders(&self, now: Time, agent: &str) -> bool {
         let Some(worker) = self.workers.by_agent(agent) else { return false };
         let granting = self.may_grant(now);
@@ -32,8 +36,8 @@
             })
     }
 
-    /// Builds the answer to a report; `None` when this owner is no longer the owner. An answer to
-    /// anything but the agent's newest report carries no orders.
+    /// Builds the answer to a report; `None` if this owner has stopped. Only the answer to the
+    /// agent's newest report carries a lease, orders and acknowledgements.
     pub fn answer(
         &mut self,
         now: Time,
@@ -77,6 +81,7 @@
         Some(orders)
     }
 
+    /// Returns the start orders that are due, and records them as sent.
     fn take_starts(&mut self, now: Time, agent: &str, sequence: u64) -> Vec<StartOrder> {
         let Some(worker) = self.workers.by_agent(agent) else { return Vec::new() };
         let due = worker.attempts.iter().filter(|(_, live)| self.is_start_due(worker, live, now));
@@ -95,6 +100,7 @@
         orders
     }
 
+    /// Builds the start order for the current attempt of a task.
     fn start_order(&self, job: &JobId, task: TaskIndex) -> Option<StartOrder> {
         let record = self.state.jobs.get(job)?;
         let Attempt { token, resume, .. } = record.attempts.get(&task)?;
@@ -109,6 +115,7 @@
         })
     }
 
+    /// Returns the stop orders that are due, and records them as sent.
     fn take_stops(&mut self, now: Time, agent: &str) -> Vec<StopOrder> {
         let Some(worker) = self.workers.by_agent(agent) else { return Vec::new() };
         let due = worker.attempts.iter().filter(|(_, live)| self.is_stop_due(live, now));
@@ -130,6 +137,7 @@
         stops.into_iter().map(|attempt| StopOrder { attempt, checkpoint: false }).collect()
     }
 
+    /// Tells whether to send the start order of an attempt in an answer to the newest report.
     fn is_start_due(&self, worker: &Worker, live: &LiveAttempt, now: Time) -> bool {
         let is_send_due = match live.start_sent {
             None => true,
@@ -137,8 +145,9 @@
                 worker.sequence > Some(sent.sequence) && now >= sent.at + START_RESEND_INTERVAL
             }
         };
-        // An order stays with its incarnation. Without this, an owner that has been replaced could
-        // order what it had committed before from a new VM, whose agent knows of no successor.
+        // A start order goes only to the incarnation for which it was placed. Otherwise a replaced
+        // owner could send an order that it had committed earlier to a new VM, whose agent has not
+        // heard of the next owner yet.
         live.target == worker.incarnation
             && live.stage == Stage::Ordered
             && live.stop_event.is_none()
@@ -146,17 +155,20 @@
             && is_send_due
     }
 
+    /// Tells whether to send a stop order for an attempt.
     fn is_stop_due(&self, live: &LiveAttempt, now: Time) -> bool {
         live.stop_event.is_some_and(|after| after <= self.committed)
             && is_resend_due(live.stop_sent, now)
     }
 
-    /// Tells whether a reported result needs no repetition.
+    /// Tells whether the event for a reported result is committed, so that the agent may drop the
+    /// result.
     fn is_acknowledged(&self, worker: &Worker, id: &AttemptId) -> bool {
         worker.uncommitted_ends.get(id).is_none_or(|sequence| *sequence <= self.committed)
     }
 }
 
+/// Records the time of a stop order for an attempt or an orphan.
 fn record_stop_sent(worker: &mut Worker, id: &AttemptId, now: Time) {
     if let Some(sent) = worker.orphans.get_mut(id) {
         *sent = Some(now);
@@ -165,6 +177,7 @@
     }
 }
 
+/// Tells whether an order last sent at `sent` has to be sent now; a new order always has.
 fn is_resend_due(sent: Option<Time>, now: Time) -> bool {
     sent.is_none_or(|sent| now >= sent + STOP_RESEND_INTERVAL)
 }
--- a/crates/core/src/cell/attempts.rs
+++ b/crates/core/src/cell/attempts.rs
@@ -1,4 +1,4 @@
-//! Reports of agents, and the ends of attempts.
+//! Processing of agents' reports, and the end of attempts.
 
 use std::collections::BTreeMap;
 
@@ -10,21 +10,23 @@
 use crate::resources::Resources;
 use crate::time::{lease_wait, Time};
 
+/// Largest stored length of a failure reason.
 const MAX_REASON_CHARS: usize = 256;
 
-/// What became of a report.
+/// Result of processing a report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportStatus {
-    /// To be answered.
+    /// The report has to be answered.
     Accepted,
-    /// Overtaken by a newer report of the agent; changes nothing.
+    /// A newer report of the agent was processed before; this one is ignored.
     Stale,
-    /// This owner is no longer the owner.
+    /// The cell has another owner, or this owner has stopped.
     NotOwner,
 }
 
 impl Cell {
-    /// Takes in a report.
+    /// Processes a report. A report with a higher epoch stops this owner, because it shows that the
+    /// cell has a newer one.
     pub fn report(&mut self, now: Time, report: &Report) -> ReportStatus {
         if report.epoch > self.state.epoch {
             self.stop();
@@ -54,6 +56,7 @@
         ReportStatus::Accepted
     }
 
+    /// Updates the record of a worker from its report.
     fn update_worker(&mut self, now: Time, slot: usize, report: &Report) {
         let epoch_accepted = report.epoch == self.state.epoch;
         let wait = lease_wait(self.settings.lease);
@@ -71,7 +74,7 @@
         let grown = max_capacity != worker.max_capacity;
         worker.max_capacity = max_capacity;
         if worker.unfenced && epoch_accepted {
-            // From here the agent rejects earlier owners. What they granted before runs out.
+            // The agent now rejects earlier owners, so the leases that they granted expire.
             worker.unfenced = false;
             worker.lease_expiry = now + wait;
         }
@@ -80,6 +83,7 @@
         }
     }
 
+    /// Ends the attempt of a reported result, unless the attempt is no longer current.
     fn process_result(&mut self, now: Time, slot: usize, result: &TaskResult) {
         let id = &result.attempt;
         let agent = self.workers.get(slot).map(|worker| worker.agent.clone());
@@ -121,7 +125,8 @@
         }
     }
 
-    /// Notes the usage of jobs. A throttled task shows less than it uses at full speed.
+    /// Records the largest usage of each job. Throttled tasks are left out, because they use less
+    /// than at full speed.
     fn record_usage(&mut self, report: &Report) {
         let at_full_speed =
             |task: &&RunningTask| task.speed_percent == 100 && !task.measured.is_zero();
@@ -137,7 +142,8 @@
         }
     }
 
-    /// Compares the attempts that the agent holds with those that it should hold.
+    /// Compares the attempts that a report lists with those that should run on the worker. Requeues
+    /// attempts that have ended, and records orphans, which are to be stopped.
     fn reconcile_attempts(&mut self, slot: usize, report: &Report) {
         let epoch_accepted = report.epoch == self.state.epoch;
         let listed: BTreeMap<&AttemptId, &Resources> =
@@ -172,7 +178,7 @@
         }
     }
 
-    /// Proposes the end of an attempt and takes it from its worker.
+    /// Proposes the event that ends an attempt, and removes the attempt from its worker.
     pub(super) fn end_attempt(&mut self, slot: usize, event: Event, id: &AttemptId) {
         let Some(job) = self.state.jobs.get(&id.job) else { return };
         let (team, need) = (job.spec.team.clone(), job.spec.need);
@@ -196,6 +202,7 @@
         self.stop_attempts(&id.job, old_phase);
     }
 
+    /// Decrements the number of the job's running tasks in a rack.
     fn decrement_rack_tasks(&mut self, job: &JobId, rack: usize) {
         if let Some(count) =
             self.rack_tasks.get_mut(job).and_then(|rack_tasks| rack_tasks.get_mut(&rack))
@@ -204,7 +211,8 @@
         }
     }
 
-    /// Orders the remaining attempts of a job to stop when it has just been given up.
+    /// Orders the remaining attempts of a job to stop if the job has just left the active phase.
+    /// `old_phase` is the phase before the last event.
     pub(super) fn stop_attempts(&mut self, id: &JobId, old_phase: Phase) {
         let Some(job) = self.state.jobs.get(id) else { return };
         if old_phase != Phase::Active || !matches!(job.phase, Phase::Cancelling | Phase::Failing) {
@@ -228,13 +236,13 @@
                 }
             }
         }
-        // An order that never left this process needs no confirmation.
+        // A start order that was never sent needs no confirmation of its stop.
         for (slot, id) in unsent {
             self.end_attempt(slot, Event::Requeued { attempt: id.clone(), checkpoint: None }, &id);
         }
     }
 
-    /// Requeues all attempts of a worker whose leases have run out.
+    /// Requeues all attempts of a worker if its leases have expired.
     pub(super) fn requeue_expired(&mut self, slot: usize, now: Time) {
         let Some(worker) = self.workers.get(slot).filter(|worker| now >= worker.lease_expiry)
         else {
@@ -255,15 +263,17 @@
     }
 }
 
-/// Tells whether an attempt that a report does not list has certainly ended.
+/// Tells whether an attempt that a report does not list has ended or will never start.
+/// `epoch_accepted` tells whether the agent has accepted this owner's epoch.
 fn is_gone(live: &LiveAttempt, report: &Report, epoch_accepted: bool) -> bool {
-    // Before the agent has accepted this epoch, a delayed order of an earlier owner may start it.
+    // Until the agent accepts this epoch, a delayed order from an earlier owner may start the
+    // attempt.
     match live.stage {
         _ if !epoch_accepted => false,
         Stage::Running | Stage::Inherited => true,
-        // An agent obeys only the answer to its newest report. Without a wish to stop it, the
-        // attempt is ordered again. Another incarnation never gets the order, and has listed what
-        // the former one started.
+        // An agent obeys only the answer to its newest report, so an order sent in an earlier answer
+        // was lost. It is sent again unless the attempt is to be stopped. Another incarnation never
+        // gets the order, and lists the attempts that its predecessor started.
         Stage::Ordered => {
             let is_passed = live
                 .start_sent
--- a/crates/core/src/cell/faults.rs
+++ b/crates/core/src/cell/faults.rs
@@ -1,4 +1,4 @@
-//! Attribution of failures to workers or to jobs.
+//! Attribution of task failures to a faulty worker or to a faulty job.
 
 use std::time::Duration;
 
@@ -7,11 +7,14 @@
 use crate::id::JobId;
 use crate::time::Time;
 
-/// A worker is at fault after failures of this many different jobs with no success in between.
+/// Number of different jobs that have to fail on a worker, with no success in between, before the
+/// worker counts as faulty and is quarantined.
 const QUARANTINE_THRESHOLD: usize = 3;
+/// Length of the first quarantine of a worker; doubles with each further one.
 const BASE_QUARANTINE: Duration = Duration::from_secs(60);
 const MAX_QUARANTINE: Duration = Duration::from_secs(15 * 60);
-/// Time without orders after a refusal: the agent's next reports show the reason.
+/// Time without new tasks for a worker after it refused a start. The agent's next reports show the
+/// reason for the refusal, such as less free capacity.
 const REFUSAL_BACKOFF: Duration = Duration::from_secs(1);
 
 impl Cell {
@@ -19,21 +22,24 @@
         self.workers.get(slot).is_some_and(|worker| worker.is_quarantined(now))
     }
 
+    /// Clears the failures counted against the worker.
     pub(super) fn record_success(&mut self, slot: usize, job: &JobId) {
         if let Some(worker) = self.workers.get_mut(slot) {
             worker.record_success(job);
         }
     }
 
+    /// Places no new tasks on the worker for a short time.
     pub(super) fn record_refusal(&mut self, now: Time, slot: usize) {
         if let Some(worker) = self.workers.get_mut(slot) {
             worker.backoff_until = now + REFUSAL_BACKOFF;
         }
     }
 
-    /// Counts a failure against the worker, and quarantines it when it is at fault. Only the first
-    /// failure of a job since its last success counts: otherwise three jobs that fail everywhere
-    /// would put each worker of an idle cell into quarantine and be cleared themselves.
+    /// Counts a failure against the worker, and quarantines the worker at the threshold. Callers
+    /// pass only the first failure of a job since its last success. Otherwise three jobs that fail
+    /// everywhere would quarantine every worker of an idle cell, and their own failures would no
+    /// longer count against them.
     pub(super) fn record_failure(&mut self, now: Time, slot: usize, job: &JobId) {
         let Some(worker) = self.workers.get_mut(slot) else { return };
         worker.failed_jobs.insert(job.clone());
--- a/crates/core/src/cell/jobs.rs
+++ b/crates/core/src/cell/jobs.rs
@@ -1,4 +1,4 @@
-//! Submitting, cancelling and viewing jobs.
+//! Submission, cancellation and listing of jobs.
 
 use bytes::Bytes;
 use serde::Serialize;
@@ -7,45 +7,50 @@
 use crate::cell::state::{Event, Job, JobSpec, Phase};
 use crate::id::{CellId, JobId, TeamId};
 
-/// Largest command. It travels in start orders and counts towards the state of the cell.
+/// Largest command of a job. The command is sent in start orders and stored in the cell's state.
 pub const MAX_COMMAND_BYTES: usize = 4 * 1024;
+/// Largest job id.
 pub const MAX_JOB_ID_BYTES: usize = 128;
-/// Largest checkpoint that is kept. It names where the worker stored the data.
+/// Largest checkpoint that is stored. A checkpoint is a reference to data that the worker saved
+/// elsewhere.
 pub const MAX_CHECKPOINT_BYTES: usize = 1024;
-/// Estimated size of the state at which a cell takes no more jobs: the state has to fit a value
-/// of the store (1 MB).
+/// Estimated size of the cell's state above which new jobs are rejected. The state has to fit one
+/// value of the store (1 MB).
 const MAX_STATE_BYTES_FOR_SUBMIT: usize = 800 * 1024;
-/// Estimated size of the state from which on no new checkpoints are kept.
+/// Estimated size of the cell's state above which new checkpoints are dropped.
 const MAX_STATE_BYTES_FOR_CHECKPOINT: usize = 900 * 1024;
-/// Jobs in one list, so that it fits a frame.
+/// Most jobs in one listing, so that the listing fits one network frame.
 const MAX_LISTED_JOBS: usize = 1_000;
 
-/// Answer to a submit.
+/// Reply to a submission.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SubmitReply {
-    /// Accepted once [`Effect::Durable`] comes for the ticket.
+    /// The job was added; the submission is accepted once [`Effect::Durable`] is emitted for the
+    /// ticket.
     Created,
-    /// The same job exists; confirmed once [`Effect::Durable`] comes for the ticket.
+    /// The same job exists already; the submission is accepted once [`Effect::Durable`] is emitted
+    /// for the ticket.
     Existing,
-    /// Another job has this id.
+    /// A job with the same id but a different specification exists.
     Conflict,
-    /// Each problem is a field and what is wrong with it.
+    /// The specification is invalid. Each entry is a field name and an error message.
     Invalid(Vec<(&'static str, String)>),
-    /// The cell has no room for more jobs, or does not know the limits yet.
+    /// The cell's state is at its size limit, or the owner does not know the configured limits yet.
     Full,
 }
 
-/// Answer to a cancel.
+/// Reply to a cancellation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CancelReply {
-    /// Accepted once [`Effect::Durable`] comes for the ticket.
+    /// The cancellation is accepted once [`Effect::Durable`] is emitted for the ticket.
     Accepted,
-    /// The job has ended otherwise.
+    /// The job has already ended without being cancelled.
     Ended,
+    /// No job with this id is visible to the caller.
     NotFound,
 }
 
-/// A job, for its team and for operators.
+/// Status of a job, as shown to its team and to operators.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct JobView {
     pub id: JobId,
@@ -63,7 +68,8 @@
 }
 
 impl Cell {
-    /// Submits a job.
+    /// Submits a job. Repeating a submission is safe: the same specification yields
+    /// [`SubmitReply::Existing`].
     pub fn submit(&mut self, spec: JobSpec, ticket: Ticket) -> SubmitReply {
         if let Some(job) = self.state.jobs.get(&spec.id) {
             if job.spec.team != spec.team || !job.matches_spec(&spec) {
@@ -90,7 +96,8 @@
         SubmitReply::Created
     }
 
-    /// Asks for the cancellation of a job. `team`: `None` for operators, who may cancel any job.
+    /// Requests the cancellation of a job. `team` restricts the request to jobs of that team;
+    /// operators pass `None` and may cancel any job.
     pub fn cancel(&mut self, team: Option<&str>, id: &str, ticket: Ticket) -> CancelReply {
         let Some(job) = self.visible(team, id) else { return CancelReply::NotFound };
         match job.phase {
@@ -107,7 +114,7 @@
         }
     }
 
-    /// Proposes the oldest cancellation that waits. Tells whether there was one.
+    /// Proposes the oldest pending cancellation. Tells whether there was one.
     pub(super) fn propose_cancel(&mut self) -> bool {
         let Some((id, ticket)) = self.pending_cancels.pop_front() else { return false };
         self.cancelling.remove(&id);
@@ -122,17 +129,18 @@
         true
     }
 
+    /// Returns the job if `team` may see it; `None` as team stands for an operator.
     fn visible(&self, team: Option<&str>, id: &str) -> Option<&Job> {
         let job = self.state.jobs.get(id)?;
         team.is_none_or(|team| job.spec.team == team).then_some(job)
     }
 
-    /// Returns one job that `team` may see.
+    /// Returns the status of one job if `team` may see it.
     pub fn show(&self, cell: &str, team: Option<&str>, id: &str) -> Option<JobView> {
         self.visible(team, id).map(|job| self.view(cell, job))
     }
 
-    /// Returns the newest jobs that `team` may see, newest first.
+    /// Returns the status of the jobs that `team` may see, newest first, up to a fixed number.
     pub fn list(&self, cell: &str, team: Option<&str>) -> Vec<JobView> {
         let visible =
             self.state.jobs.values().filter(|job| team.is_none_or(|team| job.spec.team == team));
@@ -158,7 +166,8 @@
         }
     }
 
-    /// Returns the state in one word. An end is shown only once it is durable.
+    /// Returns the name of the job's state. A final state is shown only once its event is
+    /// committed.
     fn state_name(&self, job: &Job) -> &'static str {
         let is_durable =
             self.uncommitted_ends.get(&job.spec.id).is_none_or(|end| *end <= self.committed);
@@ -177,13 +186,13 @@
         }
     }
 
-    /// Recomputes the estimated size of the state.
+    /// Recomputes the estimated size of the cell's state.
     pub(super) fn update_state_size(&mut self) {
         self.state_size = self.state.jobs.values().map(Job::size).sum();
     }
 
-    /// Returns the checkpoint if there is room for it; otherwise the task resumes from the one
-    /// before.
+    /// Returns the checkpoint if it fits the size limits. Without it the task resumes from its
+    /// previous checkpoint.
     pub(super) fn admit_checkpoint(&mut self, checkpoint: &Option<Bytes>) -> Option<Bytes> {
         let checkpoint = checkpoint.as_ref().filter(|bytes| bytes.len() <= MAX_CHECKPOINT_BYTES)?;
         if self.state_size + checkpoint.len() > MAX_STATE_BYTES_FOR_CHECKPOINT {
@@ -194,6 +203,7 @@
     }
 }
 
+/// Returns the invalid fields of a specification, each with an error message.
 fn validation_errors(limits: &Limits, spec: &JobSpec) -> Vec<(&'static str, String)> {
     let mut validation_errors = Vec::new();
     if spec.id.is_empty() || spec.id.len() > MAX_JOB_ID_BYTES || spec.id.contains('/') {
--- a/crates/core/src/cell/owner.rs
+++ b/crates/core/src/cell/owner.rs
@@ -1,4 +1,4 @@
-//! The owner of a cell: proposes events and releases effects after their commit.
+//! Owner of a cell: proposes events, and emits the effects of an event after its commit.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::time::Duration;
@@ -14,26 +14,27 @@
 use crate::resources::Resources;
 use crate::time::{lease_wait, Time, CLOCK_RATE_MARGIN_PERCENT};
 
-/// Number that the caller of a core gives to a request whose reply waits for a commit.
+/// Number by which a caller recognises its request when [`Effect::Durable`] confirms the commit.
 pub type Ticket = u64;
 
-/// Largest estimated size of the events of one batch. Keeps a write short while a burst of 10,000
-/// cancellations takes about four batches.
+/// Largest estimated size of the events in one batch. Keeps each write short, while a burst of
+/// 10,000 cancellations still takes only about four batches.
 const MAX_BATCH_BYTES: usize = 64 * 1024;
-/// Time between two checks for expired leases; small against the margin of a lease.
+/// Interval between two checks for expired leases; short compared with the safety margin of a
+/// lease.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
-/// A worker without attempts that was silent for this long is forgotten.
+/// Time without a report after which a worker without attempts is removed.
 pub(super) const FORGET_WORKER_AFTER: Duration = Duration::from_secs(600);
 
 /// Time limits of a cell.
 #[derive(Debug, Clone, Copy)]
 pub struct CellSettings {
-    /// Lease on attempts that each reply to a report grants.
+    /// Duration of the lease that each answer to a report grants on the worker's attempts.
     pub lease: Duration,
-    /// Time that the store may be unreachable before an owner stops granting.
+    /// Time without contact to the store after which an owner grants no more leases and starts.
     pub outage_hold: Duration,
-    /// Time after a takeover in which workers may still be unknown, so that nothing is declared
-    /// unrunnable.
+    /// Time after a takeover during which workers may not have reported yet, so that no job is
+    /// declared unrunnable for lack of a worker.
     pub discovery_period: Duration,
     /// Time without a report after which a worker gets no new work.
     pub silent: Duration,
@@ -50,12 +51,12 @@
     }
 }
 
-/// What the configuration allows to teams and classes.
+/// Quotas of teams and limits of job classes, from the configuration.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Limits {
-    /// Quota of each team.
+    /// Quota of each team in the cell.
     pub teams: BTreeMap<TeamId, Resources>,
-    /// Limit on a VM, and urgency, of each class.
+    /// For each class, its limit on one VM and whether it is urgent.
     pub classes: BTreeMap<String, (Resources, bool)>,
 }
 
@@ -70,63 +71,75 @@
     }
 }
 
-/// What the I/O layer does after a commit.
+/// Action of the I/O layer that is allowed only after a commit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
-    /// The submit or cancel with this ticket is durable.
+    /// Confirms the submission or cancellation with this ticket to its caller.
     Durable(Ticket),
-    /// Orders or acknowledgements wait for this agent.
+    /// Answers the open report of this agent, for which orders or acknowledgements are ready.
     Wake(AgentId),
 }
 
-/// A cell as its owner sees it.
+/// State machine of a cell's owner: the durable state, and volatile state rebuilt after a takeover.
+/// It performs no I/O. The caller passes the time, commits the batches and carries out the effects.
 #[derive(Debug, Clone)]
 pub struct Cell {
+    /// Durable state, with the events proposed but not committed yet.
     pub(super) state: CellState,
     pub(super) settings: CellSettings,
-    /// Nothing is placed or submitted before the limits are known.
+    /// Configured limits. Until they are known, no task is placed and no job is accepted.
     pub(super) limits: Option<Limits>,
-    /// Number of each class that was ever known here.
+    /// Number of each class seen by this owner; indexes `class_limits`.
     class_numbers: BTreeMap<String, usize>,
-    /// Limit on a VM of each class, by its number; `None` for a class that was removed.
+    /// Limit of each class on one VM, by class number; `None` for a class that was removed.
     pub(super) class_limits: Vec<Option<Resources>>,
     pub(super) workers: Workers,
     pub(super) index: Index,
     pub(super) queue: Queue,
+    /// Proposed events that are not committed yet, oldest first.
     pending: VecDeque<Event>,
+    /// Number of events at the front of `pending` that form the batch being committed.
     in_flight: usize,
+    /// Number of events proposed in this ownership; the sequence number of the last one.
     pub(super) proposed: u64,
+    /// Number of events committed in this ownership.
     pub(super) committed: u64,
+    /// Effects, each with the sequence number of the event whose commit it waits for.
     effects: VecDeque<(u64, Effect)>,
-    /// Cancellations that wait for room in a batch.
+    /// Cancellations that wait for space in a batch.
     pub(super) pending_cancels: VecDeque<(JobId, Ticket)>,
+    /// Jobs in `pending_cancels`; none of their tasks is started.
     pub(super) cancelling: BTreeSet<JobId>,
-    /// Jobs that ended by events not committed yet.
+    /// Ended jobs whose last event is not committed yet, with its sequence number.
     pub(super) uncommitted_ends: BTreeMap<JobId, u64>,
+    /// Declared needs of each team's current attempts.
     pub(super) team_reserved: BTreeMap<TeamId, Resources>,
-    /// Running tasks of each urgent job by rack.
+    /// Number of running tasks of each urgent job, by rack number.
     pub(super) rack_tasks: BTreeMap<JobId, BTreeMap<usize, u32>>,
-    /// Largest usage at full speed of the tasks of each job that has not ended.
+    /// Largest full-speed usage among the tasks of each job that has not ended.
     pub(super) job_usage: BTreeMap<JobId, Resources>,
-    /// Last failure of each job that has not ended.
+    /// Time of the last failure of each job that has not ended.
     pub(super) last_failure: BTreeMap<JobId, Time>,
-    /// Whether a need fits some known worker when that is empty.
+    /// Caches whether a need fits the full capacity of some known worker.
     pub(super) fit_cache: HashMap<(u64, u64, u64), bool>,
-    /// Estimated size of the state in bytes.
+    /// Estimated size of the durable state in bytes.
     pub(super) state_size: usize,
+    /// Time of the takeover by this owner.
     pub(super) takeover_at: Time,
-    /// Start of the last exchange with the store that showed it to be the owner.
+    /// Start of the last exchange with the store that confirmed this owner.
     store_contact: Time,
     stopped: bool,
     next_sweep: Time,
+    /// Requeued tasks that may be started now; refilled at a fixed rate.
     pub(super) requeue_budget: f64,
+    /// Time of the last placement pass.
     pub(super) last_pass: Time,
     pub(super) rng: Rng,
 }
 
 impl Cell {
-    /// Takes over a cell. `state` is the replay of the journal, and `now` is no earlier than the
-    /// time at which this owner was recorded as the owner of `epoch`.
+    /// Takes over a cell. `state` is the replay of the journal. `now` must not be earlier than the
+    /// time at which the store recorded this owner for `epoch`.
     pub fn take_over(
         state: CellState,
         epoch: Epoch,
@@ -171,7 +184,7 @@
         cell
     }
 
-    /// Rebuilds the volatile part from the replayed state.
+    /// Rebuilds the volatile state from the replayed durable state.
     fn rebuild_volatile(&mut self, now: Time) {
         let lease_expiry = now + self.inherited_lease_wait();
         for job in self.state.jobs.values() {
@@ -202,7 +215,9 @@
         }
     }
 
-    /// Time after a takeover at which the leases granted by earlier owners have run out.
+    /// Returns the time after a takeover by which all leases granted by earlier owners have
+    /// expired. Unless the cell was released cleanly, an earlier owner may renew leases for the
+    /// whole outage hold.
     fn inherited_lease_wait(&self) -> Duration {
         let wait = lease_wait(self.settings.lease);
         match self.state.predecessor_clean {
@@ -214,7 +229,7 @@
         }
     }
 
-    /// Replaces the limits by those of the current configuration.
+    /// Replaces the quotas and limits with those of the current configuration.
     pub fn set_limits(&mut self, limits: Limits) {
         self.class_limits.fill(None);
         for (class, (limit, _)) in &limits.classes {
@@ -225,28 +240,29 @@
         self.limits = Some(limits);
     }
 
-    /// Tells whether urgent work is to be expected.
+    /// Tells whether the configuration has an urgent class, so that urgent jobs may arrive.
     pub(super) fn has_urgent_class(&self) -> bool {
         let classes = self.limits.iter().flat_map(|limits| limits.classes.values());
         classes.into_iter().any(|(_, urgent)| *urgent)
     }
 
-    /// Returns the number of a configured class.
+    /// Returns the number of a class that this owner has seen.
     pub(super) fn class_number(&self, class: &str) -> Option<usize> {
         self.class_numbers.get(class).copied()
     }
 
-    /// Notes that an exchange with the store that started at `start` showed it to be the owner.
+    /// Records that an exchange with the store, begun at `start`, confirmed this owner.
     pub fn record_store_contact(&mut self, start: Time) {
         self.store_contact = self.store_contact.max(start);
     }
 
-    /// Stops for good: another entry owns the cell, or the cell was handed back.
+    /// Stops this owner for good, because another entry process owns the cell or the cell was
+    /// released.
     pub fn stop(&mut self) {
         self.stopped = true;
     }
 
-    /// Stops granting and proposes the release of the cell.
+    /// Stops granting leases and starts, and proposes the release of the cell.
     pub fn release(&mut self) {
         self.stopped = true;
         let clean =
@@ -254,7 +270,8 @@
         self.propose(Event::Released { epoch: self.state.epoch, clean });
     }
 
-    /// Performs what is due: expired leases, then placement.
+    /// Requeues attempts with expired leases, then places waiting tasks. Both run only when their
+    /// interval has passed.
     pub fn poll(&mut self, now: Time) {
         if self.stopped {
             return;
@@ -268,7 +285,8 @@
         }
     }
 
-    /// Returns the next batch to commit, or the one whose commit has failed. Empty: nothing to do.
+    /// Returns the next batch to commit; empty if there is none. Until
+    /// [`Cell::confirm_commit`], returns the same batch again, so that a failed commit is retried.
     pub fn take_batch(&mut self) -> Vec<Event> {
         if self.in_flight == 0 {
             self.in_flight = self.fill_batch();
@@ -276,6 +294,8 @@
         self.pending.iter().take(self.in_flight).cloned().collect()
     }
 
+    /// Returns the number of pending events that fit one batch, and proposes cancellations for the
+    /// space that is left.
     fn fill_batch(&mut self) -> usize {
         let mut count = 0;
         let mut remaining_bytes = MAX_BATCH_BYTES;
@@ -288,14 +308,14 @@
                 remaining_bytes = remaining_bytes.saturating_sub(size);
                 count += 1;
             }
-            // Cancellations arrive in bursts: they get the room that other events leave.
+            // Cancellations arrive in bursts and get only the space that other events leave.
             if self.stopped || remaining_bytes == 0 || !self.propose_cancel() {
                 return count;
             }
         }
     }
 
-    /// Notes that the batch is durable.
+    /// Records that the batch in flight is committed.
     pub fn confirm_commit(&mut self) {
         self.pending.drain(..self.in_flight);
         self.committed += self.in_flight as u64;
@@ -304,26 +324,26 @@
         self.uncommitted_ends.retain(|_, sequence| *sequence > committed);
     }
 
-    /// Returns the effects that have become due.
+    /// Removes and returns the effects whose events are committed.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         let committed = self.committed;
         let due = self.effects.iter().take_while(|(sequence, _)| *sequence <= committed).count();
         self.effects.drain(..due).map(|(_, effect)| effect).collect()
     }
 
-    /// Releases `effect` once everything proposed so far is durable.
+    /// Emits `effect` once all events proposed so far are committed.
     pub(super) fn after_commit(&mut self, effect: Effect) {
         self.effects.push_back((self.proposed, effect));
     }
 
-    /// Applies an event and queues it for the commit.
+    /// Applies an event to the state and queues it for commit.
     pub(super) fn propose(&mut self, event: Event) {
         self.state.apply(&event);
         self.pending.push_back(event);
         self.proposed += 1;
     }
 
-    /// Brings queue and views in line after an event about `job`.
+    /// Updates the queue and the volatile records of a job after an event about it.
     pub(super) fn sync_job(&mut self, id: &JobId) {
         if let Some(job) = self.state.jobs.get(id) {
             self.queue.sync(job);
@@ -341,12 +361,12 @@
         !self.stopped && now.saturating_sub(self.store_contact) < self.settings.outage_hold
     }
 
-    /// Tells whether this owner has stopped for good.
+    /// Tells whether this owner has stopped granting for good.
     pub fn is_stopped(&self) -> bool {
         self.stopped
     }
 
-    /// Tells whether events or cancellations wait for a commit.
+    /// Tells whether any events or cancellations wait for a commit.
     pub fn has_uncommitted(&self) -> bool {
         !self.pending.is_empty() || !self.pending_cancels.is_empty()
     }
@@ -356,27 +376,28 @@
         !self.pending.is_empty()
     }
 
-    /// Epoch of this ownership.
+    /// Returns the epoch of this owner.
     pub fn epoch(&self) -> Epoch {
         self.state.epoch
     }
 
-    /// State with the events proposed so far.
+    /// Returns the state with all events proposed so far, committed or not.
     pub fn state(&self) -> &CellState {
         &self.state
     }
 
-    /// Number of events committed in this ownership.
+    /// Returns the number of events committed in this ownership.
     pub fn committed(&self) -> u64 {
         self.committed
     }
 
-    /// Returns all workers, for operators.
+    /// Returns the status of all workers, for operators.
     pub fn worker_views(&self, now: Time) -> Vec<WorkerView> {
         self.workers.iter().map(|(_, worker)| worker.view(now, self.settings.silent)).collect()
     }
 
-    /// Requeues attempts whose lease has run out and forgets workers that are gone.
+    /// Requeues attempts whose lease has expired, takes silent workers out of the placement index,
+    /// and removes workers that have been silent for long.
     fn sweep(&mut self, now: Time) {
         self.update_state_size();
         let mut expired = Vec::new();
@@ -403,7 +424,7 @@
     }
 }
 
-/// Returns the number of a class, and adds the class if it is new.
+/// Returns the number of a class, and assigns the next one to a new class.
 fn intern_class(numbers: &mut BTreeMap<String, usize>, class: &str) -> usize {
     if let Some(number) = numbers.get(class) {
         return *number;
--- a/crates/core/src/cell/placement.rs
+++ b/crates/core/src/cell/placement.rs
@@ -1,4 +1,4 @@
-//! Choice of the worker for each start.
+//! Placement: chooses a worker for each waiting task.
 
 use std::collections::{BTreeSet, HashSet};
 use std::time::Duration;
@@ -12,36 +12,45 @@
 use crate::resources::Resources;
 use crate::time::Time;
 
-/// Starts from requeued work are refilled at this rate and saved up to [`RECOVERY_BURST`], so that
-/// any second has at most 200.
+/// Refill rate of the token bucket that limits starts of requeued tasks. Together with
+/// [`REQUEUED_START_BURST`] it allows at most 200 starts in any second.
 const REQUEUED_STARTS_PER_S: f64 = 180.0;
+/// Size of the token bucket for starts of requeued tasks.
 const REQUEUED_START_BURST: f64 = 20.0;
-/// Time between two passes over the queue.
+/// Shortest interval between two placement passes over the queue.
 const PASS_INTERVAL: Duration = Duration::from_millis(20);
-/// Starts in one pass.
+/// Most starts in one placement pass.
 const MAX_STARTS_PER_PASS: usize = 256;
-/// Workers examined and workers compared in one decision; the cost stays constant as cells grow.
+/// Workers examined for suitability in one decision. The bound keeps the cost of a decision
+/// constant as cells grow.
 const MAX_EXAMINED_WORKERS: usize = 48;
+/// Suitable workers ranked in one decision; bounded for the same reason.
 const MAX_COMPARED_WORKERS: usize = 12;
-/// Random places in the index that are examined to find other racks.
+/// Random positions of the index that are examined in addition, to find workers in other racks.
 const RANDOM_PROBES: usize = 8;
-/// Pressure is compared in steps, so that its noise does not override the best fit.
+/// Step to which interference pressure is rounded before workers are compared, so that its noise
+/// does not override the best fit.
 const PRESSURE_STEP_PERCENT: u32 = 20;
 
-/// Time after a takeover within which other workers are expected to report.
+/// Time after a takeover before a job may be retried on workers on which it failed. Other workers
+/// are expected to report within this time.
 const RETRY_DELAY_AFTER_TAKEOVER: Duration = Duration::from_secs(60);
-/// Pause of a job before it is tried on a worker on which it failed before; doubles.
+/// Initial backoff of a job before it is retried on a worker on which it failed; doubles with each
+/// failure.
 const BASE_RETRY_BACKOFF: Duration = Duration::from_secs(1);
 const MAX_RETRY_BACKOFF: Duration = Duration::from_secs(60);
 
-/// Workers that may get work, ordered by the CPU that is available to urgent work.
+/// Placement index: slot numbers of workers that may get tasks, ordered by the CPU available to
+/// urgent tasks, in thousandths of a core.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Index {
     all: BTreeSet<(u64, usize)>,
+    /// Workers with available accelerators.
     accelerated: BTreeSet<(u64, usize)>,
 }
 
 impl Index {
+    /// Returns the workers to search for a task with this need.
     fn for_need(&self, need: &Resources) -> &BTreeSet<(u64, usize)> {
         match need.accelerators {
             0 => &self.all,
@@ -50,26 +59,28 @@
     }
 }
 
-/// Which workers a job accepts.
+/// Restriction of the workers on which a job may be placed, by earlier failures.
 struct WorkerFilter<'a> {
     job: &'a Job,
-    /// Only workers on which other jobs succeeded.
+    /// Allows only workers on which other jobs succeeded and none of them failed since.
     proven_only: bool,
-    /// Also workers on which the job failed.
+    /// Also allows workers on which the job itself failed.
     allow_failed: bool,
 }
 
-/// Why a task cannot start now.
+/// Reason for which a task cannot start now.
 enum Blocked {
-    /// No worker has room now, whatever the job.
+    /// No allowed worker has enough free resources.
     Capacity,
-    /// A limit of the job or its team.
+    /// A restriction of this job, such as the quota of its team.
     Job,
+    /// The job can never run, for the given reason.
     Unrunnable(String),
 }
 
 impl Cell {
-    /// Starts what waits and has room.
+    /// Runs a placement pass if its interval has passed: starts waiting tasks, in the order of the
+    /// queue, on workers with enough free resources.
     pub(super) fn place(&mut self, now: Time) {
         let elapsed = now.saturating_sub(self.last_pass);
         if elapsed < PASS_INTERVAL {
@@ -99,7 +110,9 @@
         }
     }
 
-    /// Starts tasks of one job until it is blocked. Returns how many.
+    /// Starts up to `limit` tasks of one job until the job is blocked. Returns the number of
+    /// starts. `without_capacity` collects the pairs of class number and need for which this pass
+    /// found no worker.
     fn place_job(
         &mut self,
         now: Time,
@@ -144,6 +157,7 @@
         starts
     }
 
+    /// Returns the slot number of the worker for the next task of a job.
     fn choose_worker(&mut self, now: Time, id: &JobId) -> Result<usize, Blocked> {
         let job = self.state.jobs.get(id).ok_or(Blocked::Job)?;
         let need = job.spec.need;
@@ -162,12 +176,13 @@
         slot.ok_or(Blocked::Capacity)
     }
 
+    /// Checks the next task of a job against the quota of its team and the limit of its class.
     fn check_limits(&self, job: &Job) -> Result<(), Blocked> {
         let need = &job.spec.need;
         let limits = self.limits.as_ref().ok_or(Blocked::Job)?;
         let (quota, class) =
             (limits.teams.get(&job.spec.team), limits.classes.get(&job.spec.class));
-        // This owner may be behind the configuration that had the team and the class.
+        // This owner may not have received the configuration version with this team and class yet.
         let (Some(quota), Some((limit, _))) = (quota, class) else { return Err(Blocked::Job) };
         let blocked = |reason: String| match job.attempts.is_empty() {
             true => Err(Blocked::Unrunnable(reason)),
@@ -186,12 +201,14 @@
         }
     }
 
-    /// Tells whether the workers of the cell are known.
+    /// Tells whether the workers of the cell have had time to report since the takeover.
     fn has_discovered_workers(&self, now: Time) -> bool {
         now >= self.takeover_at + self.settings.discovery_period
             && self.workers.iter().any(|(_, worker)| worker.last_report.is_some())
     }
 
+    /// Tells whether the need fits the full capacity of some known worker. Returns `true` while
+    /// workers may still be unknown.
     fn fits_some_worker(&mut self, now: Time, need: Resources) -> bool {
         if !self.has_discovered_workers(now) {
             return true;
@@ -201,10 +218,10 @@
         *self.fit_cache.entry(need_key(&need)).or_insert_with(fits_any)
     }
 
-    /// Decides which workers to accept. A job that failed goes to a worker on which others
-    /// succeeded; only without such a worker in the cell, to another one on which it has not
-    /// failed, for which it waits while that one is silent; only without those, anywhere, and then
-    /// at growing intervals.
+    /// Chooses the worker filter for a job. A job without failures accepts every worker. A job that
+    /// failed goes to a worker on which other jobs succeeded. If the cell has none, the job goes to
+    /// a worker on which it has not failed, and waits for one that is silent but may return. If
+    /// there is none either, the job is retried on any worker, with growing backoff.
     fn worker_filter<'a>(&self, now: Time, job: &'a Job) -> WorkerFilter<'a> {
         let proven_workers = WorkerFilter { job, proven_only: true, allow_failed: false };
         let untried_workers = WorkerFilter { job, proven_only: false, allow_failed: false };
@@ -232,8 +249,8 @@
         }
     }
 
-    /// Tells whether a job that failed on all known workers may be tried on one of them again. A
-    /// new owner may not have heard of the others yet.
+    /// Tells whether the backoff of a job that failed on all known workers has passed. After a
+    /// takeover, the owner first waits for reports of other workers.
     fn is_retry_due(&self, now: Time, job: &Job) -> bool {
         let failures = job.requeued.values().map(|resume| resume.failures).max().unwrap_or(0);
         let backoff = BASE_RETRY_BACKOFF * 2u32.saturating_pow(failures.min(10));
@@ -242,6 +259,7 @@
             && now >= last + backoff.min(MAX_RETRY_BACKOFF)
     }
 
+    /// Tells whether the worker may get new tasks now.
     fn is_usable(&self, now: Time, worker: &Worker) -> bool {
         let silence = worker.last_report.map(|last| now.saturating_sub(last));
         !worker.leaving
@@ -251,6 +269,9 @@
             && now >= worker.backoff_until
     }
 
+    /// Returns the best of a bounded number of suitable workers. Examines the workers with the
+    /// least sufficient CPU, then random ones if the job is urgent or none was suitable. Searches
+    /// the rest of the index only if both found no worker.
     fn find_worker(
         &self,
         now: Time,
@@ -264,7 +285,8 @@
         let keep_share = self.has_urgent_class();
         let is_suitable = |slot: usize| {
             self.workers.get(slot).is_some_and(|worker| {
-                // An idle worker takes a task whatever it is expected to use.
+                // On an idle worker only the declared need counts, so that no task is too large for
+                // every worker because of its expected usage.
                 let need = if worker.attempts.is_empty() { need } else { &expected_usage };
                 need.fits_in(&worker.available_for(worker_filter.job.urgent, keep_share))
                     && worker.fits_class_limits(&self.class_limits, class, need)
@@ -288,8 +310,9 @@
         found.into_iter().min_by_key(|slot| self.rank(*slot, worker_filter.job))
     }
 
-    /// Returns what a task is expected to use: of urgent work what it declares, so that a wrong
-    /// usage does not delay it; otherwise at most the class limit, which no worker exceeds.
+    /// Returns the expected usage of a task of the job. For urgent jobs this is the declared need,
+    /// so that a wrong measurement does not delay them. For others it is the measured usage if that
+    /// is larger, capped at the class limit, because no worker admits more than that.
     fn expected_usage(&self, job: &Job, class: usize) -> Resources {
         let need = job.spec.need;
         match (self.job_usage.get(&job.spec.id), self.class_limits.get(class)) {
@@ -298,7 +321,7 @@
         }
     }
 
-    /// Adds workers from random places of the index.
+    /// Adds suitable workers at random positions of the index to `found`.
     fn probe(
         &self,
         index: &BTreeSet<(u64, usize)>,
@@ -315,7 +338,9 @@
         }
     }
 
-    /// Orders candidates, the best first.
+    /// Returns the sort key of a worker for a job; the smallest key is the best. Prefers workers
+    /// with few failed jobs, then racks with few tasks of an urgent job, low pressure, workers on
+    /// which jobs have succeeded, and the tightest CPU fit.
     fn rank(&self, slot: usize, job: &Job) -> impl Ord {
         let Some(worker) = self.workers.get(slot) else {
             return (usize::MAX, u32::MAX, u32::MAX, true, u64::MAX, slot);
@@ -340,6 +365,7 @@
         )
     }
 
+    /// Proposes the start of a task on a worker, and reserves the resources of the attempt.
     fn start(&mut self, id: &JobId, task: TaskIndex, slot: usize) {
         let token = self.state.next_token();
         let Some(agent) = self.workers.get(slot).map(|worker| worker.agent.clone()) else { return };
@@ -378,7 +404,8 @@
         self.after_commit(Effect::Wake(agent));
     }
 
-    /// Puts a worker into the index after a report.
+    /// Updates the index entry of a worker after its report, and removes the entry of a worker that
+    /// must not get tasks.
     pub(super) fn reindex(&mut self, slot: usize, now: Time) {
         let usable = self.workers.get(slot).is_some_and(|worker| {
             !worker.leaving && worker.epoch == self.state.epoch && !worker.is_quarantined(now)
@@ -389,7 +416,7 @@
         }
     }
 
-    /// Moves a worker that is in the index to its place.
+    /// Updates the index entry of a worker after its available resources have changed.
     pub(super) fn reindex_available(&mut self, slot: usize) {
         if self.workers.get(slot).is_some_and(|worker| worker.index_key.is_some()) {
             self.unindex(slot);
@@ -399,7 +426,7 @@
 
     fn insert_index(&mut self, slot: usize) {
         let Some(worker) = self.workers.get_mut(slot) else { return };
-        // Urgent work may take at least what other work may take.
+        // The CPU available to urgent tasks is never below that available to other tasks.
         let cpu = worker.urgent_available.cpu_milli;
         worker.index_key = Some(cpu);
         self.index.all.insert((cpu, slot));
@@ -408,6 +435,7 @@
         }
     }
 
+    /// Removes a worker from the index.
     pub(super) fn unindex(&mut self, slot: usize) {
         let Some(worker) = self.workers.get_mut(slot) else { return };
         if let Some(cpu) = worker.index_key.take() {
@@ -417,17 +445,19 @@
     }
 }
 
-/// Tells whether a worker may become usable again soon.
+/// Tells whether a worker that is not usable now may become usable again soon.
 fn may_return(now: Time, worker: &Worker) -> bool {
     let silence = worker.last_report.map(|last| now.saturating_sub(last));
     silence.is_some_and(|silence| silence <= FORGET_WORKER_AFTER) && !worker.is_quarantined(now)
 }
 
+/// Tells whether the filter allows the worker.
 fn accepts(worker_filter: &WorkerFilter, worker: &Worker) -> bool {
     (!worker_filter.proven_only || worker.is_proven_for(&worker_filter.job.spec.id))
         && (worker_filter.allow_failed || !worker_filter.job.failed_on.contains(&worker.agent))
 }
 
+/// Returns the next task of a job that waits in a lane.
 fn next_task(job: &Job, lane: Lane) -> Option<TaskIndex> {
     match lane.is_requeued() {
         true => job.has_requeued().then(|| job.requeued.keys().next().copied()).flatten(),
@@ -435,6 +465,7 @@
     }
 }
 
+/// Returns a need as a key for the cache of fitting needs.
 fn need_key(need: &Resources) -> (u64, u64, u64) {
     (need.cpu_milli, need.memory_mib, need.accelerators)
 }
--- a/crates/core/src/cell/queue.rs
+++ b/crates/core/src/cell/queue.rs
@@ -1,12 +1,13 @@
-//! Jobs that wait for starts, in the order in which they are served.
+//! Queue of jobs with tasks that wait for a start.
 
 use std::collections::BTreeMap;
 
 use crate::cell::state::Job;
 use crate::id::JobId;
 
-/// Order of service. New urgent work goes before the recovery of lost work; within the other
-/// classes, tasks that were started before go first.
+/// Priority lane of the queue, served from first to last. Among urgent jobs, tasks that were never
+/// started come first, so that new urgent work does not wait for the recovery of lost work. Among
+/// other jobs, tasks that were started before come first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Lane {
     UrgentUnstarted,
@@ -16,9 +17,11 @@
 }
 
 impl Lane {
+    /// All lanes, highest priority first.
     pub const ALL: [Lane; 4] =
         [Lane::UrgentUnstarted, Lane::UrgentRequeued, Lane::Requeued, Lane::Unstarted];
 
+    /// Tells whether the lane holds tasks that were started before.
     pub fn is_requeued(self) -> bool {
         matches!(self, Lane::UrgentRequeued | Lane::Requeued)
     }
@@ -33,20 +36,24 @@
     }
 }
 
-/// Jobs examined at the head of a lane in one pass, and after a cursor that moves on from pass to
-/// pass. A long row of jobs that cannot start now delays a pass by a bounded time only, and hides
-/// no job for good.
+/// Jobs that a pass examines at the head of a lane. The bound limits the time that jobs which
+/// cannot start now take from a pass.
 const MAX_HEAD_JOBS: usize = 128;
+/// Jobs that a pass examines after a cursor, which advances from pass to pass. So every job of the
+/// lane is examined eventually.
 const MAX_CURSOR_JOBS: usize = 384;
 
+/// Waiting jobs by priority lane.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Queue {
+    /// Jobs of each lane, by order of submission.
     lanes: [BTreeMap<u64, JobId>; 4],
+    /// Order of submission of the last job examined after the head of each lane.
     cursors: [u64; 4],
 }
 
 impl Queue {
-    /// Puts a job into the lanes that fit its waiting tasks, and takes it from the others.
+    /// Adds a job to the lanes for which it has waiting tasks, and removes it from the others.
     pub fn sync(&mut self, job: &Job) {
         for (requeued, waits) in [(false, job.has_unstarted()), (true, job.has_requeued())] {
             let lane = &mut self.lanes[Lane::new(job.urgent, requeued) as usize];
@@ -66,7 +73,7 @@
         self.lanes.iter().all(BTreeMap::is_empty)
     }
 
-    /// Returns the jobs of a lane to examine in this pass.
+    /// Returns the jobs of a lane to examine in this pass, and advances the lane's cursor.
     pub fn candidates(&mut self, lane: Lane) -> Vec<JobId> {
         let jobs = &self.lanes[lane as usize];
         let mut chosen: Vec<(u64, JobId)> = jobs
--- a/crates/core/src/cell/state.rs
+++ b/crates/core/src/cell/state.rs
@@ -1,4 +1,4 @@
-//! Durable state of a cell: the replay of its events.
+//! Durable state of a cell, rebuilt by replaying its committed events.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -10,34 +10,38 @@
 use crate::message::report::{AttemptId, Token};
 use crate::resources::Resources;
 
-/// A job fails permanently after failures on this many different workers.
+/// Number of different workers on which a job has to fail before it fails permanently.
 pub const MAX_FAILED_WORKERS: usize = 3;
-/// A job fails permanently after this many failures of one task, on whichever workers. Ends a job
-/// in a cell with fewer than [`FAULTY_WORKERS`] workers, or whose workers are under suspicion too.
+/// Number of failures of one task, on any workers, after which its job fails permanently. This ends
+/// a job in a cell that has fewer than [`MAX_FAILED_WORKERS`] workers, or whose workers are
+/// quarantined so that their failures do not count.
 pub const MAX_TASK_FAILURES: u32 = 10;
-/// Ended jobs that are kept for `show` and for repeated submits. A cell ends about 2,800 jobs a
-/// day at plan size, so this covers eight hours.
+/// Ended jobs that are kept for status queries and repeated submissions. At the planned load a cell
+/// ends about 2,800 jobs a day, so this covers eight hours.
 pub const MAX_ENDED_JOBS: usize = 1_000;
 
-/// What a submitter asks for.
+/// Specification of a job, as submitted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobSpec {
     pub id: JobId,
     pub team: TeamId,
     pub class: String,
+    /// Number of tasks, all of which run the same command.
     pub tasks: u32,
+    /// Resources that each task needs.
     pub need: Resources,
+    /// Command in the format of the worker; the scheduler does not interpret it.
     pub command: Bytes,
 }
 
 impl JobSpec {
-    /// Returns an upper estimate of the encoded size of a job that has not started.
+    /// Returns an upper estimate of the encoded size, in bytes, of a job that has not started.
     pub fn size(&self) -> usize {
         const FIXED_BYTES: usize = 40;
         FIXED_BYTES + self.id.len() + self.team.len() + self.class.len() + self.command.len()
     }
 
-    /// Returns a digest that tells whether two specifications are the same.
+    /// Returns a digest of everything but the id, for comparing two specifications.
     pub fn digest(&self) -> u64 {
         let mut encoded = Vec::with_capacity(128 + self.command.len());
         for part in [self.team.as_bytes(), self.class.as_bytes(), &self.command] {
@@ -52,15 +56,17 @@
     }
 }
 
-/// A committed change of a cell. An event about an attempt that is not the task's current one
-/// changes nothing.
+/// State change of a cell. Events are committed in order. An event about an attempt that is not the
+/// current one of its task has no effect.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Event {
+    /// A new owner began `epoch`.
     TakenOver {
         epoch: Epoch,
     },
-    /// The owner of `epoch` grants nothing more. `clean`: it had confirmed each attempt, so that
-    /// no earlier owner can be renewing one.
+    /// The owner of `epoch` gave the cell up and grants no more leases. `clean` tells that every
+    /// agent with attempts had accepted its epoch, so that no earlier owner can still renew their
+    /// leases.
     Released {
         epoch: Epoch,
         clean: bool,
@@ -83,10 +89,10 @@
     Failed {
         attempt: AttemptId,
         reason: String,
-        /// Whether the failure counts against the job.
+        /// Whether the failure counts against the job; false for a quarantined worker.
         counted: bool,
     },
-    /// The attempt ended without a result and not by fault of its job.
+    /// The attempt ended without a result for a reason that is not the job's fault.
     Requeued {
         attempt: AttemptId,
         checkpoint: Option<Bytes>,
@@ -94,11 +100,12 @@
     CancelRequested {
         job: JobId,
     },
+    /// A task of the job exceeds every worker, the quota of its team or the limit of its class.
     Unrunnable {
         job: JobId,
         reason: String,
     },
-    /// The worker is at fault: its failures no longer count against jobs.
+    /// The worker was found faulty, so its past failures no longer count against jobs.
     Blamed {
         agent: AgentId,
     },
@@ -108,7 +115,7 @@
     /// Returns an upper estimate of the encoded size in bytes.
     pub fn size(&self) -> usize {
         const FIXED_BYTES: usize = 48;
-        // Estimated closely, because cancellations arrive in bursts and share a batch.
+        // A close estimate, because bursts of cancellations have to share one batch.
         const CANCEL_BYTES: usize = 8;
         let attempt = |attempt: &AttemptId| attempt.job.len();
         FIXED_BYTES
@@ -130,7 +137,7 @@
             }
     }
 
-    /// Name of the transition, for logs and metrics.
+    /// Returns the name of the event for logs and metrics.
     pub fn name(&self) -> &'static str {
         match self {
             Event::TakenOver { .. } => "taken_over",
@@ -148,13 +155,14 @@
     }
 }
 
-/// Where a job stands.
+/// Phase in the lifecycle of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
+    /// Tasks wait or run.
     Active,
-    /// Attempts are being stopped; ends as cancelled.
+    /// Attempts are being stopped; the job then becomes `Cancelled`.
     Cancelling,
-    /// Attempts are being stopped; ends as failed.
+    /// Attempts are being stopped; the job then becomes `Failed`.
     Failing,
     Completed,
     Failed,
@@ -163,57 +171,67 @@
 }
 
 impl Phase {
-    /// Tells whether nothing about the job can change any more.
+    /// Tells whether the job has ended.
     pub fn is_final(self) -> bool {
         matches!(self, Phase::Completed | Phase::Failed | Phase::Unrunnable | Phase::Cancelled)
     }
 }
 
-/// The current attempt of a task.
+/// Current attempt of a task.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Attempt {
+    /// Fencing token of the attempt.
     pub token: Token,
+    /// Agent that was chosen to run the attempt.
     pub agent: AgentId,
+    /// State from which the attempt resumed the task.
     pub resume: Resume,
 }
 
-/// What the next attempt of a task starts from.
+/// State that a task carries from one attempt to the next.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resume {
-    /// The last committed checkpoint.
+    /// Last committed checkpoint.
     pub checkpoint: Option<Bytes>,
     /// Failures of the task so far.
     pub failures: u32,
 }
 
 impl Resume {
+    /// Replaces the checkpoint, or keeps the old one if `checkpoint` is `None`.
     fn with_checkpoint(self, checkpoint: &Option<Bytes>) -> Self {
         Resume { checkpoint: checkpoint.clone().or(self.checkpoint), ..self }
     }
 }
 
-/// A job. Tasks from `fresh` on were never started and have no record of their own.
+/// Job with the progress of its tasks. Tasks from index `next_unstarted` on were never started and
+/// take no space of their own.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Job {
     pub spec: JobSpec,
-    /// Digest of an ended job, whose command is no longer kept.
+    /// Digest of the specification, set when the job ends and its command is dropped.
     digest: Option<u64>,
     pub urgent: bool,
     /// Position in the order of submission.
     pub submit_order: u64,
     pub phase: Phase,
+    /// Reason for which the job failed or cannot run.
     pub reason: Option<String>,
-    /// First task that was never started.
+    /// Index of the first task that was never started.
     pub next_unstarted: TaskIndex,
-    /// Tasks that wait for another attempt.
+    /// Tasks that were started before and wait for another attempt.
     pub requeued: BTreeMap<TaskIndex, Resume>,
+    /// Current attempts, by task.
     pub attempts: BTreeMap<TaskIndex, Attempt>,
+    /// Number of completed tasks.
     pub completed: u32,
+    /// Number of attempts started so far.
     pub started: u64,
+    /// Number of attempts evicted so far.
     pub evictions: u64,
-    /// Workers on which the job failed and that are not known to be at fault.
+    /// Workers on which the job failed, without those found faulty since.
     pub failed_on: BTreeSet<AgentId>,
-    /// Whether the job failed on any worker since a task of it completed.
+    /// Whether the job has failed since its last completed task.
     pub is_suspect: bool,
 }
 
@@ -237,7 +255,7 @@
         }
     }
 
-    /// Tells whether the job was submitted with this specification.
+    /// Tells whether the job was submitted with the same specification.
     pub fn matches_spec(&self, spec: &JobSpec) -> bool {
         self.digest.unwrap_or_else(|| self.spec.digest()) == spec.digest()
     }
@@ -256,7 +274,7 @@
             + agents.chain(checkpoints).chain(failed_on).sum::<usize>()
     }
 
-    /// Number of tasks that wait for a start.
+    /// Returns the number of tasks that wait for a start.
     pub fn waiting(&self) -> u32 {
         match self.phase {
             Phase::Active => self.spec.tasks - self.next_unstarted + self.requeued.len() as u32,
@@ -264,29 +282,30 @@
         }
     }
 
-    /// Tells whether tasks wait that were never started.
+    /// Tells whether tasks that were never started wait for a start.
     pub fn has_unstarted(&self) -> bool {
         self.phase == Phase::Active && self.next_unstarted < self.spec.tasks
     }
 
-    /// Tells whether tasks wait that were started before.
+    /// Tells whether tasks that were started before wait for another attempt.
     pub fn has_requeued(&self) -> bool {
         self.phase == Phase::Active && !self.requeued.is_empty()
     }
 
-    /// Returns the current attempt if `id` names it.
+    /// Returns the attempt with this id if it is the current one of its task.
     pub fn attempt(&self, id: &AttemptId) -> Option<&Attempt> {
         self.attempts.get(&id.task).filter(|attempt| attempt.token == id.token)
     }
 
-    /// Gives up the tasks that wait and ends the job once no attempt is left.
+    /// Moves the job to `phase` and drops its requeued tasks. An earlier reason is kept.
     fn stop(&mut self, phase: Phase, reason: Option<String>) {
         self.phase = phase;
         self.reason = self.reason.take().or(reason);
         self.requeued.clear();
     }
 
-    /// Ends the job when no task waits or runs. Tells whether it ended.
+    /// Ends the job if no attempt is left and all tasks completed or the job is being stopped.
+    /// Tells whether the job ended.
     fn end_if_done(&mut self) -> bool {
         if self.phase.is_final() || !self.attempts.is_empty() {
             return false;
@@ -302,17 +321,18 @@
     }
 }
 
-/// Durable state of a cell.
+/// Durable state of a cell, built by applying its events in order.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CellState {
+    /// Current ownership period; 0 before the first owner.
     pub epoch: Epoch,
-    /// Whether the owner of `epoch` released the cell with each attempt confirmed.
+    /// Whether the owner of `epoch` released the cell cleanly, as defined at [`Event::Released`].
     pub clean: bool,
-    /// Whether the predecessor of the owner of `epoch` had released it so.
+    /// Whether the owner before the one of `epoch` had released the cell cleanly.
     pub predecessor_clean: bool,
-    /// Number of the last token.
+    /// Number in the last fencing token issued.
     pub last_token: u64,
-    /// Jobs submitted so far.
+    /// Number of jobs submitted so far.
     pub submitted: u64,
     #[serde(with = "by_id")]
     pub jobs: BTreeMap<JobId, Job>,
@@ -325,7 +345,7 @@
     pub fn apply(&mut self, event: &Event) {
         match event {
             Event::TakenOver { epoch } => {
-                // An epoch of 0 has never granted anything.
+                // In epoch 0 there was no owner that could have granted leases.
                 self.predecessor_clean = self.clean || self.epoch == 0;
                 self.clean = false;
                 self.epoch = *epoch;
@@ -363,16 +383,17 @@
         }
     }
 
-    /// Returns the next token of the current epoch.
+    /// Returns the next fencing token of the current epoch.
     pub fn next_token(&self) -> Token {
         Token { epoch: self.epoch, number: self.last_token + 1 }
     }
 
-    /// Tells whether `id` names the current attempt of its task.
+    /// Tells whether the attempt with this id is the current one of its task.
     pub fn is_current(&self, id: &AttemptId) -> bool {
         self.jobs.get(&id.job).is_some_and(|job| job.attempt(id).is_some())
     }
 
+    /// Adds a job, unless its id is in use.
     fn submit(&mut self, spec: &JobSpec, urgent: bool) {
         if self.jobs.contains_key(&spec.id) {
             return;
@@ -382,6 +403,7 @@
         self.jobs.insert(spec.id.clone(), job);
     }
 
+    /// Records a new attempt of a waiting task.
     fn start(&mut self, id: &AttemptId, agent: &AgentId) {
         self.last_token = self.last_token.max(id.token.number);
         let Some(job) = self.jobs.get_mut(&id.job).filter(|job| job.phase == Phase::Active) else {
@@ -400,6 +422,7 @@
         job.attempts.insert(id.task, attempt);
     }
 
+    /// Removes a current attempt and applies `change` to its job.
     fn end_attempt(&mut self, id: &AttemptId, change: impl FnOnce(&mut Job, Attempt)) {
         let Some(job) = self.jobs.get_mut(&id.job).filter(|job| job.attempt(id).is_some()) else {
             return;
@@ -410,6 +433,7 @@
         self.end_if_done(&id.job);
     }
 
+    /// Moves an active job to `phase`, and ends the job if no attempt is left.
     fn stop(&mut self, id: &JobId, phase: Phase, reason: Option<String>) {
         if let Some(job) = self.jobs.get_mut(id).filter(|job| job.phase == Phase::Active) {
             job.stop(phase, reason);
@@ -417,6 +441,7 @@
         }
     }
 
+    /// Ends an active job without attempts as unrunnable.
     fn mark_unrunnable(&mut self, id: &JobId, reason: &str) {
         match self.jobs.get_mut(id) {
             Some(job) if job.phase == Phase::Active && job.attempts.is_empty() => {
@@ -427,19 +452,22 @@
         }
     }
 
+    /// Removes a faulty worker from the failures counted against jobs.
     fn clear_failures(&mut self, agent: &AgentId) {
         for job in self.jobs.values_mut().filter(|job| !job.phase.is_final()) {
             job.failed_on.remove(agent);
         }
     }
 
+    /// Ends the job if nothing of it waits or runs, and retires it.
     fn end_if_done(&mut self, id: &JobId) {
         if self.jobs.get_mut(id).is_some_and(Job::end_if_done) {
             self.retire(id);
         }
     }
 
-    /// Keeps an ended job without its command, and forgets the oldest ended jobs.
+    /// Drops the command of an ended job, and removes the oldest ended jobs above
+    /// [`MAX_ENDED_JOBS`].
     fn retire(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.digest = Some(job.spec.digest());
@@ -455,12 +483,14 @@
     }
 }
 
+/// Puts a task back into the queue if its job is still active.
 fn requeue(job: &mut Job, task: TaskIndex, resume: Resume) {
     if job.phase == Phase::Active {
         job.requeued.insert(task, resume);
     }
 }
 
+/// Requeues a failed task, and stops its job once it has failed too often.
 fn fail(job: &mut Job, task: TaskIndex, ended: Attempt, reason: &str, counted: bool) {
     if job.phase != Phase::Active {
         return;
@@ -476,7 +506,8 @@
     }
 }
 
-/// Encodes jobs without repeating their ids: the state has to fit a value of the store.
+/// Encodes the map of jobs as a list, without the ids, which the jobs contain. This keeps the state
+/// small, because it has to fit one value of the store.
 mod by_id {
     use std::collections::BTreeMap;
 
--- a/crates/core/src/cell/worker.rs
+++ b/crates/core/src/cell/worker.rs
@@ -1,4 +1,4 @@
-//! Workers of a cell as its owner sees them. Volatile: rebuilt from reports after a takeover.
+//! Volatile records of a cell's workers, rebuilt from agents' reports after a takeover.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,124 +10,140 @@
 use crate::resources::Resources;
 use crate::time::Time;
 
-/// An eighth of a worker's capacity is kept free for urgent work: other work that grows or is
-/// throttled keeps its reservations for minutes.
+/// Divisor of the share of a worker's capacity that is kept free for urgent work: one eighth. Other
+/// tasks that grow or are throttled hold their reservations for minutes, too long for urgent work.
 const URGENT_SHARE_DIVISOR: u64 = 8;
 
-/// How far an attempt has come.
+/// Progress of an attempt, as known to this owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// Ordered in this ownership and not reported yet.
+    /// Placed by this owner, and not listed in a report yet.
     Ordered,
-    /// Started by an earlier owner and not reported to this one yet.
+    /// Placed by an earlier owner, and not listed in a report to this owner yet.
     Inherited,
+    /// Listed in a report.
     Running,
 }
 
-/// The last answer that carried a start order.
+/// Last answer that carried the start order of an attempt.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct StartSent {
-    /// Sequence of the report that was answered.
+    /// Sequence number of the answered report.
     pub sequence: u64,
     pub at: Time,
 }
 
-/// An attempt that may be alive on a worker.
+/// Attempt that may be running on a worker.
 #[derive(Debug, Clone)]
 pub(super) struct LiveAttempt {
     pub token: Token,
     pub need: Resources,
-    /// Usage in the last report; zero while none is known.
+    /// Usage in the last report; zero if unknown.
     pub measured: Resources,
-    /// Largest usage of the job's tasks at full speed that was known at the last report.
+    /// Largest full-speed usage of the job's tasks known at the last report.
     pub expected_usage: Resources,
-    /// Number of the class within the cell.
+    /// Class number of the job.
     pub class: usize,
     pub stage: Stage,
-    /// Incarnation that the order is meant for; `None` if an earlier owner ordered it.
+    /// Incarnation of the agent to which the start order may be sent; `None` if an earlier owner
+    /// placed the attempt.
     pub target: Option<Incarnation>,
-    /// Sequence of the event that allows the start.
+    /// Sequence number of the event whose commit allows the start order.
     pub start_event: u64,
     pub start_sent: Option<StartSent>,
-    /// Sequence of the event that allows the stop, when one is wanted.
+    /// Sequence number of the event whose commit allows a stop order; `None` if the attempt is not
+    /// to be stopped.
     pub stop_event: Option<u64>,
+    /// Time of the last stop order.
     pub stop_sent: Option<Time>,
-    /// Whether the last report listed it, so that the reported free capacity accounts for it.
+    /// Whether the last report listed the attempt, so that the reported free capacity already
+    /// excludes its reservation.
     pub reported: bool,
 }
 
 impl LiveAttempt {
-    /// What the agent's ledger reserves for the attempt.
+    /// Returns the resources that the agent's ledger reserves for the attempt.
     pub fn reserved_amount(&self) -> Resources {
         self.need.max(&self.measured)
     }
 }
 
-/// An incarnation that may be newer than the current one. Incarnations are random, so a report of
-/// an unknown one may also be a delayed report of a predecessor. Only a live process can return the
-/// challenge.
+/// Unverified incarnation that may succeed the current one. Incarnations are random numbers, so a
+/// report from an unknown one may also be a delayed report from a predecessor. Only a live process
+/// can echo the challenge.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Candidate {
     pub incarnation: Incarnation,
+    /// Random number that the agent has to echo in its next report.
     pub challenge: u64,
-    /// Whether the challenge was sent since the last report.
+    /// Whether an answer has carried the challenge since the last report.
     pub sent: bool,
 }
 
-/// A worker.
+/// Worker with its last reported status, its attempts and its failure history.
 #[derive(Debug, Clone)]
 pub(super) struct Worker {
     pub agent: AgentId,
     pub incarnation: Option<Incarnation>,
     pub candidate: Option<Candidate>,
+    /// Sequence number of the newest report of `incarnation`.
     pub sequence: Option<u64>,
     /// Epoch that the agent had accepted at its last report.
     pub epoch: Epoch,
+    /// Whether the agent finishes its tasks and takes no new ones.
     pub leaving: bool,
     pub rack: String,
     /// Number of the rack within the cell.
     pub rack_number: usize,
+    /// Reported capacity for batch work.
     pub capacity: Resources,
-    /// Largest capacity reported; a closing lowers the current one for a while.
+    /// Largest capacity reported so far; a closing lowers the current one temporarily.
     pub max_capacity: Resources,
+    /// Reported free capacity for tasks that are not urgent.
     pub free: Resources,
+    /// Reported free capacity for urgent tasks.
     pub urgent_free: Resources,
-    /// Reported free capacity minus what was ordered and is not part of it yet.
+    /// Reported free capacity minus the needs of placed attempts that the report does not list.
     pub available: Resources,
-    /// The same for urgent work.
+    /// Like `available`, for urgent tasks.
     pub urgent_available: Resources,
-    /// What the attempts of each class hold, by number of the class.
+    /// Reservations of the attempts of each class, by class number.
     pub class_reserved: Vec<Resources>,
-    /// The same with the growth that is expected.
+    /// Like `class_reserved`, with the expected growth of usage.
     pub class_expected: Vec<Resources>,
-    /// Growth that is expected of all attempts.
+    /// Expected growth of all attempts beyond their reservations.
     pub expected_growth: Resources,
+    /// Reported interference: slow-down of the VM's services by batch work, in percent.
     pub pressure: u32,
     pub last_report: Option<Time>,
-    /// Time at which each lease that any owner may have granted has certainly run out.
+    /// Time by which every lease that any owner may have granted has expired.
     pub lease_expiry: Time,
-    /// Whether an earlier owner may still renew leases of this worker.
+    /// Whether the agent has not accepted this owner's epoch yet, so that an earlier owner may
+    /// still renew its leases.
     pub unfenced: bool,
-    /// Jobs that failed since the last success.
+    /// Jobs that failed on the worker since its last success.
     pub failed_jobs: BTreeSet<JobId>,
-    /// The last two different jobs that succeeded.
+    /// Last two different jobs that succeeded on the worker, newest first.
     pub succeeded_jobs: Vec<JobId>,
     pub quarantined_until: Time,
+    /// Number of quarantines since the last success.
     pub quarantines: u32,
-    /// No placement before this time, after a refusal.
+    /// Time until which no task is placed on the worker, set after a refusal.
     pub backoff_until: Time,
+    /// Attempts that may be running on the worker.
     pub attempts: BTreeMap<(JobId, TaskIndex), LiveAttempt>,
-    /// Results of the last report.
+    /// Attempts with a result in the last report that is not acknowledged yet.
     pub results: Vec<AttemptId>,
-    /// Ended attempts whose event is not committed yet, with its sequence.
+    /// Ended attempts whose event is not committed yet, with its sequence number.
     pub uncommitted_ends: BTreeMap<AttemptId, u64>,
     /// Reported attempts that are not current, with the time of the last stop order.
     pub orphans: BTreeMap<AttemptId, Option<Time>>,
-    /// Key in the placement index, when it is there.
+    /// CPU under which the worker is listed in the placement index; `None` if not listed.
     pub index_key: Option<u64>,
 }
 
 impl Worker {
+    /// Creates the record of a worker that has not reported yet.
     pub fn new(agent: AgentId, lease_expiry: Time) -> Self {
         Worker {
             agent,
@@ -164,7 +180,7 @@
         }
     }
 
-    /// Tells whether a report comes from another incarnation that has not proved that it lives.
+    /// Tells whether a report comes from another incarnation that has not echoed its challenge.
     pub fn is_unverified(&self, incarnation: Incarnation, echo: u64) -> bool {
         let proved = |candidate: Candidate| {
             candidate.incarnation == incarnation && candidate.challenge == echo
@@ -173,19 +189,20 @@
             && !self.candidate.is_some_and(proved)
     }
 
-    /// Notes that another incarnation reports. `challenge` is not zero.
+    /// Records a report from an unverified incarnation. A new candidate gets `challenge`, which
+    /// must not be zero.
     pub fn challenge(&mut self, incarnation: Incarnation, challenge: u64) {
         let known = self.candidate.filter(|candidate| candidate.incarnation == incarnation);
         let challenge = known.map_or(challenge, |known| known.challenge);
         self.candidate = Some(Candidate { incarnation, challenge, sent: false });
     }
 
-    /// Tells whether a report was overtaken by a newer one of its incarnation.
+    /// Tells whether the worker has processed this report or a newer one of the same incarnation.
     pub fn is_stale(&self, incarnation: Incarnation, sequence: u64) -> bool {
         self.incarnation == Some(incarnation) && self.sequence >= Some(sequence)
     }
 
-    /// Notes which incarnation reports.
+    /// Records the incarnation and the sequence number of an accepted report.
     pub fn set_incarnation(&mut self, incarnation: Incarnation, sequence: u64) {
         if self.incarnation != Some(incarnation) {
             self.incarnation = Some(incarnation);
@@ -199,12 +216,13 @@
         now < self.quarantined_until
     }
 
-    /// Tells whether jobs other than `job` succeeded here and none failed since.
+    /// Tells whether jobs other than `job` succeeded on the worker and none of them failed since.
     pub fn is_proven_for(&self, job: &JobId) -> bool {
         self.failed_jobs.iter().all(|failed| failed == job)
             && self.succeeded_jobs.iter().any(|other| other != job)
     }
 
+    /// Clears the failure history and remembers the job as succeeded.
     pub fn record_success(&mut self, job: &JobId) {
         self.failed_jobs.clear();
         self.quarantines = 0;
@@ -214,7 +232,7 @@
         }
     }
 
-    /// Recomputes what can be ordered from this worker.
+    /// Recomputes the available resources and the class totals from the report and the attempts.
     pub fn update_available(&mut self) {
         let unreported = self.attempts.values().filter(|live| !live.reported);
         let ordered = unreported.fold(Resources::default(), |sum, live| sum.plus(&live.need));
@@ -238,8 +256,9 @@
         }
     }
 
-    /// Returns what a start may take. With `keeps_share`, work that is not urgent leaves the share
-    /// for urgent work free, except on an idle worker: a task may need all of it.
+    /// Returns the resources that a new task may take. With `keep_share`, tasks that are not urgent
+    /// leave the share for urgent work free, except on an idle worker, because a task may need the
+    /// whole worker.
     pub fn available_for(&self, urgent: bool, keep_share: bool) -> Resources {
         match () {
             () if urgent => return self.urgent_available,
@@ -253,8 +272,9 @@
         self.available.minus(&self.expected_growth).minus(&kept)
     }
 
-    /// Tells whether the class limits, by number of the class, leave room for `need`. The ledger
-    /// admits nothing while any class holds more than its limit; a class that was removed has none.
+    /// Tells whether the class limits admit a task of `class` with `need`. `limits` is indexed by
+    /// class number. The agent's ledger admits no task while any class exceeds its limit, so all
+    /// classes are checked; a removed class has no limit.
     pub fn fits_class_limits(
         &self,
         limits: &[Option<Resources>],
@@ -268,13 +288,14 @@
             && self.class_reserved.iter().zip(limits).all(|(used, limit)| is_within(used, limit))
     }
 
-    /// Tells whether nothing is known of this worker that is not durable.
+    /// Tells whether the record can be dropped: no attempt is left and all ends are committed.
     pub fn is_removable(&self, committed: u64) -> bool {
         self.attempts.is_empty()
             && self.uncommitted_ends.values().all(|sequence| *sequence <= committed)
     }
 
-    /// Current state in one word.
+    /// Returns the name of the worker's state. `silent` is the time without a report after which
+    /// the worker counts as silent.
     fn status(&self, now: Time, silent: Time) -> &'static str {
         match self.last_report {
             None => "unknown",
@@ -285,6 +306,7 @@
         }
     }
 
+    /// Returns the status of the worker, for operators.
     pub fn view(&self, now: Time, silent: Time) -> WorkerView {
         WorkerView {
             agent: self.agent.clone(),
@@ -302,7 +324,7 @@
     }
 }
 
-/// A worker, for operators.
+/// Status of a worker, as shown to operators.
 #[derive(Debug, Clone, Serialize)]
 pub struct WorkerView {
     pub agent: AgentId,
@@ -314,21 +336,24 @@
     pub pressure_percent: u32,
 }
 
-/// All workers of a cell, by slot number.
+/// Workers of a cell, by slot number. A slot number stays the same while its worker is known, and
+/// is then reused.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Workers {
     slots: Vec<Option<Worker>>,
+    /// Slot numbers free for reuse.
     vacant: Vec<usize>,
     slots_by_agent: BTreeMap<AgentId, usize>,
     rack_numbers: BTreeMap<String, usize>,
 }
 
 impl Workers {
+    /// Returns the slot number of an agent.
     pub fn find(&self, agent: &str) -> Option<usize> {
         self.slots_by_agent.get(agent).copied()
     }
 
-    /// Number of slots, including vacant ones.
+    /// Returns the number of slots, including vacant ones.
     pub fn slots(&self) -> usize {
         self.slots.len()
     }
@@ -349,7 +374,7 @@
         self.find(agent).and_then(|slot| self.get_mut(slot))
     }
 
-    /// Returns the slot of `agent`, and adds it if it is new.
+    /// Returns the slot number of `agent`, and adds a worker if the agent is unknown.
     pub fn insert(&mut self, agent: &AgentId, lease_expiry: Time) -> usize {
         if let Some(slot) = self.find(agent) {
             return slot;
@@ -363,7 +388,7 @@
         slot
     }
 
-    /// Notes the rack of a worker.
+    /// Sets the rack of a worker, and numbers a new rack.
     pub fn set_rack(&mut self, slot: usize, rack: &str) {
         let number = match self.rack_numbers.get(rack) {
             Some(number) => *number,
--- a/crates/core/src/ledger.rs
+++ b/crates/core/src/ledger.rs
@@ -1,8 +1,13 @@
-//! Capacity of one VM.
+//! Capacity ledger of one VM: admission control and limit enforcement for its batch tasks.
 //!
-//! The ledger is the only authority on what a VM holds. It reserves the limit of the VM's service
-//! first, and for each batch task the larger of its declared need and its measured usage. A task
-//! holds its reservation until the worker has confirmed that it is gone.
+//! Every batch task on the VM has a reservation in the ledger. The ledger first sets aside the
+//! limit of the VM's service, then reserves for each batch task the larger of its declared need
+//! and its measured usage. A reservation is freed only after the worker has confirmed that the
+//! task no longer runs.
+//!
+//! A closing is a configured period, such as a year-end closing, in which services need more of
+//! the VM and batch work gets less. Before a closing starts, it is prepared: new batch tasks are
+//! already refused above its limit.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -11,35 +16,38 @@
 use crate::resources::Resources;
 use crate::time::Time;
 
-/// Speed of a task whose usage outgrew the VM, in percent.
+/// Speed at which a throttled task runs, in percent of full speed.
 const THROTTLED_SPEED_PERCENT: u8 = 50;
 
-/// Limits from the configuration in effect.
+/// Limits that the configuration in effect sets for one VM.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Limits {
-    /// Reserved for the VM's service.
+    /// Resources set aside for the VM's service.
     pub service: Resources,
-    /// Most that each class may take from the VM.
+    /// Upper limit of the reservations of each job class, by class name.
     pub classes: BTreeMap<String, Resources>,
+    /// Limit of the closing in progress or in preparation, if any.
     pub closing: Option<ClosingLimit>,
 }
 
-/// Limit of a closing that has begun or is being prepared.
+/// Limit on batch work during a closing or its preparation.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClosingLimit {
+    /// Upper limit of the reservations of all batch tasks.
     pub batch: Resources,
-    /// Classes that may start; all if empty.
+    /// Classes whose tasks may start; all classes if empty.
     pub classes: Vec<String>,
-    /// Also frees what running tasks hold above the limit.
+    /// Whether running tasks above the limit are throttled and evicted. Until then only new tasks
+    /// are refused.
     pub enforced: bool,
 }
 
-/// Why a start does not fit.
+/// Reason for which [`Ledger::admit`] refuses a task.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Refusal {
     NoConfiguration,
     UnknownClass,
-    /// Running tasks exceed the capacity for batch work.
+    /// Reservations of running tasks exceed a limit; nothing starts until they are back below it.
     Overcommitted,
     NotInClosing,
     ClassLimit {
@@ -83,56 +91,59 @@
     }
 }
 
-/// What to do about usage above a limit.
+/// Action on a running task that the caller of [`Ledger::enforce_limits`] has to carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LimitAction {
     Throttle(AttemptId),
     Evict(AttemptId),
-    /// The task may run at full speed again.
+    /// Lets a throttled task run at full speed again.
     Restore(AttemptId),
 }
 
-/// A task as the ledger sees it.
+/// Resources that a task needs, with the properties that decide its admission.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TaskDemand {
     pub class: String,
     pub need: Resources,
     pub urgent: bool,
-    /// Last known usage, here or of an earlier attempt.
+    /// Last measured usage, of this attempt or an earlier one; zero if unknown.
     pub measured: Resources,
 }
 
+/// Reservation of one attempt, with its throttling state.
 #[derive(Debug, Clone)]
 struct Reservation {
     demand: TaskDemand,
-    /// Order of admission.
+    /// Position in the order of admission; higher numbers are newer.
     admission_order: u64,
-    /// Usage at full speed, as last measured.
+    /// Last usage measured at full speed.
     full_usage: Resources,
+    /// Whether a stop was ordered; the reservation stays until the stop is confirmed.
     stopping: bool,
     throttled_at: Option<Time>,
     restored_at: Option<Time>,
 }
 
 impl Reservation {
+    /// Returns the larger of the declared need and the measured usage.
     fn reserved_amount(&self) -> Resources {
         self.demand.need.max(&self.demand.measured)
     }
 }
 
-/// Reservations of one VM.
+/// Reservations and limits of one VM.
 #[derive(Debug, Clone)]
 pub struct Ledger {
     capacity: Resources,
     limits: Option<Limits>,
-    /// Time for an effect to become visible in measurements.
+    /// Time until a throttle or restore shows in the measurements: twice their lag.
     settle_time: Time,
     tasks: BTreeMap<AttemptId, Reservation>,
     next_order: u64,
 }
 
 impl Ledger {
-    /// Builds an empty ledger. `lag` is the lag of usage measurements.
+    /// Builds an empty ledger. `lag` is the delay of usage measurements.
     pub fn new(capacity: Resources, lag: Time) -> Self {
         Ledger {
             capacity,
@@ -148,30 +159,32 @@
         self.capacity = capacity;
     }
 
-    /// Sets the limits in effect. Without limits nothing is admitted.
+    /// Sets the limits in effect. Until the first call, [`Ledger::admit`] refuses every task.
     pub fn set_limits(&mut self, limits: Limits) {
         self.limits = Some(limits);
     }
 
-    /// Capacity of the VM without what is reserved for its service and closed to batch work.
+    /// Returns the capacity for batch work: the VM's capacity minus the service's limit, capped by
+    /// the closing's limit.
     pub fn batch_capacity(&self) -> Resources {
         let Some(limits) = &self.limits else { return Resources::default() };
         let available = self.capacity.minus(&limits.service);
         limits.closing.as_ref().map_or(available, |closing| available.min(&closing.batch))
     }
 
-    /// Sum of the reservations.
+    /// Returns the sum of all reservations.
     pub fn reserved(&self) -> Resources {
         sum(self.tasks.values())
     }
 
-    /// Part of the batch capacity that is not reserved.
+    /// Returns the part of the batch capacity that is not reserved.
     pub fn free(&self) -> Resources {
         self.batch_capacity().minus(&self.reserved())
     }
 
-    /// Part that urgent work may take. The limit of a closing holds for it only from the start of
-    /// the closing: it must start within seconds, while the preparation takes minutes.
+    /// Returns the resources that urgent tasks may still reserve. A closing limits urgent tasks
+    /// only once it is enforced: they must start within seconds, while its preparation takes
+    /// minutes.
     pub fn urgent_free(&self) -> Resources {
         match &self.limits {
             Some(_) => self.enforced_capacity().minus(&self.reserved()),
@@ -179,7 +192,7 @@
         }
     }
 
-    /// Tells whether running tasks hold more than is allowed.
+    /// Tells whether the reservations exceed the enforced capacity or a class limit.
     pub fn is_overcommitted(&self) -> bool {
         self.excess(|_| true).is_some()
     }
@@ -189,7 +202,7 @@
         self.tasks.contains_key(attempt)
     }
 
-    /// Speed that the ledger allows a task, in percent.
+    /// Returns the speed that the ledger allows the attempt, in percent of full speed.
     pub fn speed(&self, attempt: &AttemptId) -> u8 {
         match self.tasks.get(attempt) {
             Some(task) if task.throttled_at.is_some() => THROTTLED_SPEED_PERCENT,
@@ -197,11 +210,12 @@
         }
     }
 
-    /// Reserves room for a new attempt.
+    /// Reserves resources for a new attempt.
     ///
     /// # Errors
     ///
-    /// Refuses what does not fit, and everything while running tasks hold too much.
+    /// Returns the reason if the task does not fit, and [`Refusal::Overcommitted`] for every task
+    /// while the existing reservations exceed a limit.
     pub fn admit(&mut self, attempt: AttemptId, task: TaskDemand) -> Result<(), Refusal> {
         let limits = self.limits.as_ref().ok_or(Refusal::NoConfiguration)?;
         let class_limit = limits.classes.get(&task.class).ok_or(Refusal::UnknownClass)?;
@@ -214,7 +228,8 @@
             true => self.enforced_capacity(),
             false => self.batch_capacity(),
         };
-        // The limit of a closing that is only being prepared may be exceeded as well.
+        // `is_overcommitted` ignores a closing that is not enforced yet; the second condition
+        // covers its limit.
         if self.is_overcommitted() || !self.reserved().fits_in(&capacity) {
             return Err(Refusal::Overcommitted);
         }
@@ -230,7 +245,7 @@
         Ok(())
     }
 
-    /// Records a task that runs already, whether it fits or not.
+    /// Adds a reservation for a task that already runs, whether it fits or not.
     pub fn adopt(&mut self, attempt: AttemptId, task: TaskDemand) {
         let admission_order = self.next_order;
         self.next_order += 1;
@@ -246,12 +261,13 @@
         self.tasks.entry(attempt).or_insert(reservation);
     }
 
-    /// Records measured usage. Zero means that none is known yet.
+    /// Records the measured usage of an attempt. Zero usage means "not measured yet" and is
+    /// ignored.
     pub fn record_usage(&mut self, now: Time, attempt: &AttemptId, usage: Resources) {
         let settle_time = self.settle_time;
         match self.tasks.get_mut(attempt) {
             Some(task) if !usage.is_zero() => {
-                // Measurements lag: just after a restore they still show the throttled usage.
+                // Measurements lag, so just after a restore they still show throttled usage.
                 let settling = task.restored_at.is_some_and(|at| now < at + settle_time);
                 let usage = if settling { task.demand.measured.max(&usage) } else { usage };
                 task.demand.measured = usage;
@@ -264,20 +280,22 @@
         }
     }
 
-    /// Records that a task is being stopped. It keeps its reservation.
+    /// Records that an attempt was ordered to stop. Its reservation stays until
+    /// [`Ledger::release`].
     pub fn mark_stopping(&mut self, attempt: &AttemptId) {
         if let Some(task) = self.tasks.get_mut(attempt) {
             task.stopping = true;
         }
     }
 
-    /// Frees the reservation of an attempt that is confirmed gone.
+    /// Frees the reservation of an attempt after the worker has confirmed its end.
     pub fn release(&mut self, attempt: &AttemptId) {
         self.tasks.remove(attempt);
     }
 
-    /// Decides what to do about usage above a limit: throttles the newest task, and evicts it if
-    /// the usage is still too high once the throttle should be visible in the measurements.
+    /// Decides how to bring reservations back below the limits: throttles the newest task that
+    /// contributes, and evicts it if a limit is still exceeded once the measurements should show
+    /// the throttle. With no limit exceeded, restores at most one throttled task.
     pub fn enforce_limits(&mut self, now: Time) -> Vec<LimitAction> {
         let mut actions = Vec::new();
         while let Some((class, overuse)) = self.excess(|task| !task.stopping) {
@@ -303,7 +321,7 @@
         actions
     }
 
-    /// Restores the oldest throttled task whose usage at full speed fits.
+    /// Restores the oldest throttled task whose full-speed usage fits the limits.
     fn restore(&mut self, now: Time) -> Option<LimitAction> {
         let settle_time = self.settle_time;
         let is_restorable = |attempt: &AttemptId, task: &Reservation| {
@@ -319,11 +337,13 @@
         let task = self.tasks.get_mut(&oldest)?;
         task.throttled_at = None;
         task.restored_at = Some(now);
-        // Reserved until measured again, so that nothing else takes the room meanwhile.
+        // Reserves the full-speed usage at once, so that no other task takes these resources before
+        // the next measurement.
         task.demand.measured = task.demand.measured.max(&task.full_usage);
         Some(LimitAction::Restore(oldest))
     }
 
+    /// Tells whether the limits hold if the task runs at full speed beside all other tasks.
     fn fits_at_full_speed(&self, attempt: &AttemptId, task: &Reservation) -> bool {
         let Some(limits) = &self.limits else { return false };
         let full_usage = task.demand.need.max(&task.full_usage);
@@ -338,6 +358,8 @@
                 .fits_in(&self.enforced_capacity())
     }
 
+    /// Returns the capacity that running tasks must not exceed: like `batch_capacity`, but a
+    /// closing counts only once it is enforced.
     fn enforced_capacity(&self) -> Resources {
         let Some(limits) = &self.limits else { return self.capacity };
         let available = self.capacity.minus(&limits.service);
@@ -347,7 +369,8 @@
         }
     }
 
-    /// Returns what the counted tasks hold above a limit, with the class if it is a class's.
+    /// Returns the amount by which the reservations of the tasks selected by `counted` exceed a
+    /// limit, with the class if the limit is that of a class.
     fn excess(
         &self,
         counted: impl Fn(&Reservation) -> bool,
@@ -364,8 +387,8 @@
         })
     }
 
-    /// Newest task that holds some of what is exceeded. Work outside a closing goes first, urgent
-    /// work last.
+    /// Returns the task to throttle or evict: the newest one that reserves some of the exceeded
+    /// resources. Tasks outside the closing's classes come first, urgent tasks last.
     fn newest_offender(&self, class: Option<&str>, overuse: &Resources) -> Option<AttemptId> {
         let closing = self.limits.as_ref().and_then(|limits| limits.closing.as_ref());
         let in_closing = |task: &Reservation| {
@@ -381,6 +404,7 @@
     }
 }
 
+/// Returns the sum of the reserved amounts.
 fn sum<'a>(tasks: impl Iterator<Item = &'a Reservation>) -> Resources {
     tasks.fold(Resources::default(), |sum, task| sum.plus(&task.reserved_amount()))
 }
