--- a/crates/core/src/cell/attempts.rs
+++ b/crates/core/src/cell/attempts.rs
@@ -271,9 +271,10 @@
     match live.stage {
         _ if !epoch_accepted => false,
         Stage::Running | Stage::Inherited => true,
-        // An agent obeys only the answer to its newest report, so an order sent in an earlier answer
-        // was lost. It is sent again unless the attempt is to be stopped. Another incarnation never
-        // gets the order, and lists the attempts that its predecessor started.
+        // An agent obeys only the answer to its newest report, so it ignores an order that it has
+        // not carried out by then. The order is sent again unless the attempt is to be stopped.
+        // Another incarnation never gets the order, and lists the attempts that its predecessor
+        // started.
         Stage::Ordered => {
             let is_passed = live
                 .start_sent
--- a/crates/core/tests/cell_history.rs
+++ b/crates/core/tests/cell_history.rs
@@ -1,5 +1,5 @@
-//! The history checker rejects a bad history of each kind. Guards against a checker that passes
-//! everything.
+//! Tests of the history checker: it rejects a bad history for each kind of violation. Guards
+//! against a checker that accepts everything.
 
 #[path = "support/history.rs"]
 mod history;
@@ -60,6 +60,7 @@
     Fact::Promised("job".to_owned())
 }
 
+/// Returns the state after the committed events of a history.
 fn replay(history: &[Fact]) -> CellState {
     let mut state = CellState::default();
     for fact in history {
@@ -122,10 +123,10 @@
         job.completed = 2;
     }
     let found = check(&history, &end).map_err(|(violation, _)| violation);
-    assert_eq!(found, Err(Violation::WrongEnd), "a task counted twice");
+    assert_eq!(found, Err(Violation::WrongEnd), "a task counted as completed twice");
     end.jobs.clear();
     let found = check(&history, &end).map_err(|(violation, _)| violation);
-    assert_eq!(found, Err(Violation::PromiseBroken), "a job that is gone");
+    assert_eq!(found, Err(Violation::PromiseBroken), "a submitted job is missing");
 }
 
 #[test]
--- a/crates/core/tests/cell_owner/fixture.rs
+++ b/crates/core/tests/cell_owner/fixture.rs
@@ -1,4 +1,4 @@
-//! An owner of a cell, with agents that obey it.
+//! Test fixture: a cell's owner with simulated agents.
 
 use std::time::Duration;
 
@@ -41,15 +41,18 @@
     }
 }
 
-/// An owner with agents that obey each order at once.
+/// Cell owner with agents that carry out each order at once, on virtual time.
 pub struct Fixture {
     pub cell: Cell,
     pub now: Time,
+    /// Sequence number of the last report.
     pub sequence: u64,
     pub committed_events: Vec<Event>,
+    /// Id, running tasks and unacknowledged results of each agent.
     pub agents: Vec<(String, Vec<StartOrder>, Vec<TaskResult>)>,
+    /// Capacity of each worker.
     pub capacity: Resources,
-    /// Usage that is reported for each task.
+    /// Usage reported for each task.
     pub measured: Resources,
 }
 
@@ -74,6 +77,7 @@
         fixture
     }
 
+    /// Replaces the owner with a new one in the next epoch.
     pub fn take_over(&mut self) {
         let state = self.replay();
         let epoch = self.cell.epoch() + 1;
@@ -83,18 +87,21 @@
         self.commit();
     }
 
+    /// Returns the state after all committed events.
     pub fn replay(&self) -> CellState {
         let mut state = CellState::default();
         self.committed_events.iter().for_each(|event| state.apply(event));
         state
     }
 
+    /// Commits the next batch and returns the effects that it releases.
     pub fn commit(&mut self) -> Vec<Effect> {
         self.committed_events.extend(self.cell.take_batch());
         self.cell.confirm_commit();
         self.cell.take_effects()
     }
 
+    /// Sends the report of an agent and returns the answer.
     pub fn report(&mut self, agent: usize, epoch: u64) -> Orders {
         self.sequence += 1;
         let (id, running, results) = &self.agents[agent];
@@ -125,6 +132,7 @@
         self.cell.answer(self.now, id, 1, self.sequence).expect("the owner")
     }
 
+    /// Carries out the orders of an answer; returns the number of starts.
     pub fn apply_orders(&mut self, agent: usize, orders: Orders) -> usize {
         let (_, running, results) = &mut self.agents[agent];
         results.retain(|result| !orders.acknowledged.contains(&result.attempt));
@@ -138,7 +146,8 @@
         count
     }
 
-    /// Time passes; each agent reports; the owner places and commits; orders reach the agents.
+    /// Advances the time, lets each agent report and carry out its orders, then lets the owner
+    /// place tasks and commit. Returns the number of starts that reached the agents.
     pub fn round(&mut self, step: Duration) -> usize {
         self.now += step;
         self.cell.record_store_contact(self.now);
@@ -152,6 +161,7 @@
         starts
     }
 
+    /// Ends all tasks of an agent with the same outcome.
     pub fn end_all(&mut self, agent: usize, outcome: &Outcome) {
         let (_, running, results) = &mut self.agents[agent];
         let ended = running.drain(..).map(|start| start.attempt);
@@ -162,7 +172,7 @@
         assert_eq!(self.cell.submit(spec, 1), SubmitReply::Created);
     }
 
-    /// Number of the job's attempts that have not ended.
+    /// Returns the number of current attempts of a job.
     pub fn running(&self, job: &str) -> usize {
         self.cell.state().jobs[job].attempts.len()
     }
--- a/crates/core/tests/cell_owner/main.rs
+++ b/crates/core/tests/cell_owner/main.rs
@@ -1,4 +1,4 @@
-//! Behaviour of a cell's owner in single situations.
+//! Tests of a cell's owner, one situation each.
 
 mod fixture;
 
@@ -15,7 +15,8 @@
 
 use fixture::{limits, ms, spec, Fixture, LEASE, OUTAGE_HOLD};
 
-/// Guards against a burst of cancellations that fills the batches before a start.
+/// Guards against a burst of cancellations that fills the commit batches and so delays the start of
+/// an urgent task.
 #[test]
 fn ten_thousand_cancellations_do_not_delay_a_start() {
     let mut fixture = Fixture::new(4, 16_000, 1 << 40);
@@ -32,7 +33,7 @@
     fixture.capacity = fixture.capacity.plus(&room);
     fixture.submit(JobSpec { need: room, ..spec("late", "urgent", 1, 1) });
     fixture.commit();
-    // One batch carries the submit, the next one the start, the third round the order.
+    // One batch commits the submission, the next one the start; a third round delivers the order.
     let before = fixture.cell.has_uncommitted();
     fixture.round(ms(500));
     fixture.round(ms(500));
@@ -45,7 +46,8 @@
         .any(|(_, running, _)| { running.iter().any(|start| start.attempt.job == "late") }));
 }
 
-/// Guards against a successor that starts a task again while a paused owner may still renew it.
+/// Guards against a new owner that starts a task again while a paused earlier owner may still renew
+/// the lease of its attempt.
 #[test]
 fn unconfirmed_attempts_wait_for_the_outage_hold_unless_released() {
     for (clean, wait) in
@@ -72,7 +74,8 @@
     }
 }
 
-/// Guards against the loss of an attempt that a delayed order of an earlier owner may still start.
+/// Guards against requeueing an attempt that a delayed order of an earlier owner may still start.
+/// Until the agent has accepted the new epoch, its absence from a report proves nothing.
 #[test]
 fn absence_counts_only_after_the_agent_accepted_the_epoch() {
     let mut fixture = Fixture::new(1, 4_000, 1 << 40);
@@ -87,8 +90,8 @@
     assert_eq!(fixture.running("job"), 0);
 }
 
-/// Guards against a delayed report of a dead predecessor that passes for a restart: its successor
-/// would then be ignored, and its attempts be taken as gone.
+/// Guards against mistaking a delayed report of a dead agent process for a restart. Reports of the
+/// live process would then be ignored, and its attempts would be requeued.
 #[test]
 fn a_delayed_report_of_an_unknown_incarnation_changes_nothing() {
     let mut fixture = Fixture::new(1, 4_000, 1 << 40);
@@ -119,18 +122,18 @@
     let challenged = fixture.cell.answer(fixture.now, "vm-0", 99, 2).expect("the owner");
     assert_eq!((challenged.lease, challenged.starts.len()), (Duration::ZERO, 0));
     assert_ne!(challenged.challenge, 0);
-    assert_eq!(fixture.running("job"), 1, "taken as gone");
-    assert_eq!(fixture.report(0, 1).lease, LEASE, "the live agent is ignored");
+    assert_eq!(fixture.running("job"), 1, "the attempt was requeued");
+    assert_eq!(fixture.report(0, 1).lease, LEASE, "the report of the live agent was ignored");
 
-    // A live successor returns the challenge, and then its reports count.
+    // A live agent process echoes the challenge, and its reports are accepted from then on.
     let returned = Report { sequence: 3, echo: challenged.challenge, ..second };
     fixture.cell.report(fixture.now, &returned);
     assert_eq!(fixture.running("job"), 0);
     assert_eq!(fixture.cell.answer(fixture.now, "vm-0", 99, 3).expect("the owner").lease, LEASE);
 }
 
-/// Guards against a replaced owner that orders what it had committed before from a replaced VM,
-/// after its successor has learnt from that VM that nothing runs there.
+/// Guards against two attempts of a task: a replaced owner sends a start order that it committed
+/// earlier to a replaced VM, after the new owner has learnt from that VM that nothing runs there.
 #[test]
 fn a_start_is_ordered_only_from_the_incarnation_it_was_placed_on() {
     let mut fixture = Fixture::new(1, 4_000, 1 << 40);
@@ -158,16 +161,16 @@
         report.sequence = sequence;
         fixture.cell.report(fixture.now, &report);
         let orders = fixture.cell.answer(fixture.now, "vm-0", 99, sequence).expect("the owner");
-        assert!(orders.starts.is_empty(), "ordered from another incarnation");
+        assert!(orders.starts.is_empty(), "start ordered from another incarnation");
         report.echo = report.echo.max(orders.challenge);
     }
-    assert_eq!(fixture.running("job"), 1, "gone before the epoch");
+    assert_eq!(fixture.running("job"), 1, "requeued before the agent accepted the epoch");
     report = Report { sequence: 4, epoch: 1, ..report };
     fixture.cell.report(fixture.now, &report);
-    assert_eq!(fixture.running("job"), 0, "waits for ever");
+    assert_eq!(fixture.running("job"), 0, "the attempt was never requeued");
 }
 
-/// Guards against an owner that grants after a successor may have taken over.
+/// Guards against an owner that still grants leases when a new owner may have taken over.
 #[test]
 fn grants_stop_after_the_outage_hold() {
     let mut fixture = Fixture::new(1, 4_000, 1 << 40);
@@ -177,7 +180,8 @@
     assert_eq!(fixture.report(0, 1).lease, Duration::ZERO);
 }
 
-/// Guards against orders and acknowledgements that precede their event's commit.
+/// Guards against orders, acknowledgements and results that become visible before their event is
+/// committed.
 #[test]
 fn nothing_leaves_before_its_commit() {
     let mut fixture = Fixture::new(1, 4_000, 1 << 40);
@@ -197,7 +201,7 @@
     assert_eq!(fixture.cell.list("cell", None)[0].state, "completed");
 }
 
-/// Guards against work that waits for ever, or blocks other work, because it can never run.
+/// Guards against a job that can never run and waits for ever or blocks other jobs.
 #[test]
 fn work_that_can_never_run_is_unrunnable_at_once() {
     let mut fixture = Fixture::new(2, 4_000, 8_000);
@@ -213,7 +217,7 @@
     assert_eq!(fixture.running("fine"), 2);
 }
 
-/// Guards against a team that takes more of the cell than its quota.
+/// Guards against a team that uses more of the cell than its quota.
 #[test]
 fn a_team_stays_within_its_quota() {
     let mut fixture = Fixture::new(4, 4_000, 3_000);
@@ -224,7 +228,8 @@
     assert_eq!(fixture.running("job"), 3);
 }
 
-/// Guards against a faulty worker that drains the queue, and against jobs blamed for it.
+/// Guards against a faulty worker on which every queued task fails, and against counting its
+/// failures against the jobs.
 #[test]
 fn a_worker_that_fails_everything_is_quarantined() {
     // The share for urgent work leaves room for exactly three tasks.
@@ -246,7 +251,7 @@
     assert_eq!(later, 3, "no start after the quarantine");
 }
 
-/// Guards against a job that fails everywhere and is retried without end.
+/// Guards against endless retries of a job that fails on every worker.
 #[test]
 fn a_job_that_fails_on_three_workers_fails() {
     let mut fixture = Fixture::new(5, 4_000, 1 << 40);
@@ -261,11 +266,12 @@
     assert_eq!(fixture.cell.state().jobs["bad"].started, 3);
 }
 
-/// Guards against a recovery that floods the cell, and against new urgent work that waits for it.
+/// Guards against a burst of restarts after a mass eviction, and against new urgent work that waits
+/// behind them.
 #[test]
 fn recovery_is_limited_and_urgent_work_goes_first() {
-    // 14 tasks fit beside the share for urgent work, and no fresh task may be left: the limit is
-    // on requeued ones only.
+    // 14 tasks fit on a worker beside the share for urgent work. No unstarted task may be left,
+    // because the start rate is limited for requeued tasks only.
     let mut fixture = Fixture::new(48, 16_000, 1 << 40);
     fixture.submit(spec("job", "normal", 600, 1_000));
     for _ in 0..10 {
@@ -288,7 +294,7 @@
     assert!(starts > 100 && starts <= 200, "{starts} starts in a second");
 }
 
-/// Guards against the loss of all tasks of an urgent job with one rack.
+/// Guards against losing all tasks of an urgent job with a single rack.
 #[test]
 fn urgent_tasks_are_spread_over_racks() {
     let mut fixture = Fixture::new(12, 16_000, 1 << 40);
@@ -302,7 +308,8 @@
     assert_eq!(racks, [2; 4]);
 }
 
-/// Guards against a second job under the id of another one, and against doubled jobs.
+/// Guards against a repeated submission that creates a second job, and against a different job that
+/// is accepted under an id in use.
 #[test]
 fn submits_are_idempotent() {
     let mut fixture = Fixture::new(1, 4_000, 1 << 40);
@@ -313,7 +320,7 @@
     assert_eq!(effects, [Effect::Durable(1), Effect::Durable(2)]);
 }
 
-/// Guards against one record for each task that was never started.
+/// Guards against a state that grows with the number of unstarted tasks.
 #[test]
 fn a_job_with_many_tasks_stays_compact() {
     let mut fixture = Fixture::new(1, 1_000, 1 << 40);
@@ -323,7 +330,7 @@
     assert_eq!((job.waiting(), job.requeued.len(), job.attempts.len()), (999_999, 0, 1));
 }
 
-/// Guards against ended jobs that fill the state.
+/// Guards against a state that grows with the number of ended jobs.
 #[test]
 fn the_oldest_ended_jobs_are_forgotten() {
     let mut state = CellState::default();
@@ -336,7 +343,7 @@
     assert!(!state.jobs.contains_key("job-4") && state.jobs.contains_key("job-5"));
 }
 
-/// Guards against a late result that changes a task which another attempt has taken over.
+/// Guards against a late result of an old attempt that changes a task with a newer attempt.
 #[test]
 fn an_event_with_an_old_token_changes_nothing() {
     let mut fixture = Fixture::new(1, 4_000, 1 << 40);
@@ -354,7 +361,7 @@
     assert_eq!(state, before);
 }
 
-/// Guards against jobs that a new owner rejects because it does not know the configuration yet.
+/// Guards against a new owner that rejects jobs before it knows the configuration.
 #[test]
 fn nothing_is_decided_before_the_limits_are_known() {
     let mut fixture = Fixture::new(1, 4_000, 1 << 40);
@@ -376,8 +383,8 @@
     assert_eq!(fixture.running("job"), 1);
 }
 
-/// Guards against starts that the ledger must refuse because a class is at its limit, and against
-/// a full class that keeps others off the worker.
+/// Guards against starts that the agent's ledger has to refuse because a class is at its limit, and
+/// against a full class that blocks other classes on the worker.
 #[test]
 fn a_class_is_filled_up_to_its_limit_only() {
     let mut fixture = Fixture::new(1, 60_000, 1 << 40);
@@ -386,7 +393,7 @@
     fixture.round(ms(500));
     assert_eq!(fixture.running("many"), 16);
     assert_eq!(fixture.running("now"), 3);
-    // Above the limit the ledger admits nothing.
+    // The ledger admits nothing while a class exceeds its limit.
     fixture.measured = Resources::new(1_001, 100, 0);
     fixture.round(ms(500));
     fixture.submit(spec("later", "urgent", 1, 1_000));
@@ -395,7 +402,7 @@
     assert_eq!(fixture.running("later"), 0);
 }
 
-/// Guards against urgent work that waits until other work ends.
+/// Guards against urgent work that has to wait until other work ends.
 #[test]
 fn other_work_leaves_room_for_urgent_work() {
     let mut fixture = Fixture::new(1, 8_000, 1 << 40);
@@ -407,7 +414,8 @@
     assert_eq!(fixture.running("now"), 1);
 }
 
-/// Guards against a task that waits for ever because it needs the share for urgent work as well.
+/// Guards against a task that waits for ever because it needs the whole worker, including the share
+/// kept free for urgent work.
 #[test]
 fn an_idle_worker_takes_a_task_that_needs_all_of_it() {
     let mut fixture = Fixture::new(1, 8_000, 1 << 40);
@@ -416,8 +424,8 @@
     assert_eq!(fixture.running("large"), 1);
 }
 
-/// Guards against evicted tasks that are placed by their declaration again and outgrow the class
-/// limit again.
+/// Guards against evicted tasks that are placed by their declared need and exceed the class limit
+/// again.
 #[test]
 fn tasks_are_placed_by_the_usage_of_earlier_tasks_of_their_job() {
     let mut fixture = Fixture::new(1, 60_000, 1 << 40);
@@ -434,7 +442,7 @@
     assert_eq!(fixture.agents[0].1.len(), 8);
 }
 
-/// Guards against a removed class whose running tasks keep all others off their worker.
+/// Guards against a removed class whose running tasks block all other classes on their worker.
 #[test]
 fn a_removed_class_does_not_bar_others() {
     let mut fixture = Fixture::new(1, 8_000, 1 << 40);
--- a/crates/core/tests/cell_schedules.rs
+++ b/crates/core/tests/cell_schedules.rs
@@ -1,4 +1,4 @@
-//! Seeded random schedules of a cell under faults, judged by the history checker.
+//! Runs a cell under seeded random faults, and checks each run with the history checker.
 
 #[path = "support/cell_world.rs"]
 mod cell_world;
@@ -15,8 +15,11 @@
 
 use peridotfold_core::cell::state::Phase;
 
+/// Number of random schedules.
 const SCHEDULES: u64 = 10_000;
 
+/// Runs one schedule. Beside the history rules, jobs that are not built to fail must complete or be
+/// cancelled, unless several workers are faulty.
 fn check(seed: u64) {
     let world::Judged { outcome, sound, faulty_vms } = world::World::run(seed);
     outcome.check(seed);
@@ -25,12 +28,12 @@
         let end = ended(id);
         assert!(
             matches!(end, Some(Phase::Completed | Phase::Cancelled)),
-            "seed {seed}: job {id} without a flaw ended as {end:?}"
+            "seed {seed}: job {id}, not built to fail, ended as {end:?}"
         );
     }
 }
 
-/// Guards against two live attempts of a task, lost or doubled completions, resumption from a
+/// Guards against two running attempts of a task, lost or duplicate completions, resumption from a
 /// wrong checkpoint, starts after a cancellation, and jobs that never end.
 #[test]
 fn random_schedules_keep_the_lifecycle_rules() {
--- a/crates/core/tests/ledger.rs
+++ b/crates/core/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! Capacity ledger under seeded random schedules on virtual time.
+//! Tests of the capacity ledger: seeded random schedules on virtual time, and single cases.
 
 #[path = "support/schedules.rs"]
 mod schedules;
@@ -11,11 +11,13 @@
 use peridotfold_core::message::report::{AttemptId, Token};
 use peridotfold_core::resources::Resources;
 
+/// Number of random schedules.
 const SCHEDULES: u64 = 10_000;
+/// Random steps in one schedule.
 const STEPS: u64 = 150;
-/// Steps without growth and admissions in which everything above a limit has to be freed: each task may need a
-/// throttle, a wait of two lags and a confirmed stop.
-const SETTLE_STEPS: u64 = 400;
+/// Rounds without growth and admissions after which no limit may be exceeded. Each task may need a
+/// throttle, a wait of two measurement lags and a confirmed stop.
+const SETTLE_ROUNDS: u64 = 400;
 const STEP_INTERVAL: Duration = Duration::from_millis(500);
 const MEASUREMENT_LAG: Duration = Duration::from_secs(1);
 const CAPACITY: Resources = Resources::new(16_000, 60_000, 2);
@@ -31,21 +33,26 @@
     Limits { service: SERVICE, classes: BTreeMap::from(classes), closing }
 }
 
+/// Task that runs on the simulated worker.
 struct Task {
     demand: TaskDemand,
-    /// Usage at full speed, whatever was declared.
+    /// Actual usage at full speed, independent of the declared need.
     usage: Resources,
+    /// Allowed speed, in percent.
     speed: u64,
     throttled_at: Option<Duration>,
 }
 
+/// Simulated worker with its ledger.
 struct World {
     rng: Rng,
     now: Duration,
     ledger: Ledger,
     limits: Limits,
     tasks: BTreeMap<AttemptId, Task>,
+    /// Evicted attempts whose stop is not confirmed yet.
     stopping: BTreeSet<AttemptId>,
+    /// Number of the next attempt.
     next: u64,
 }
 
@@ -74,11 +81,13 @@
         }
     }
 
+    /// Returns the sum of what the ledger has to reserve.
     fn total_held(&self) -> Resources {
         let amounts = self.tasks.values().map(|task| task.demand.need.max(&task.demand.measured));
         amounts.fold(Resources::default(), |sum, amount| sum.plus(&amount))
     }
 
+    /// Returns the sum of the declared needs.
     fn declared(&self) -> Resources {
         let needs = self.tasks.values().map(|task| task.demand.need);
         needs.fold(Resources::default(), |sum, need| sum.plus(&need))
@@ -91,6 +100,7 @@
         })
     }
 
+    /// Performs a random action, then a round.
     fn step(&mut self) {
         let percentile = self.rng.u8(..100);
         match percentile {
@@ -105,6 +115,7 @@
         self.run_round();
     }
 
+    /// Advances the time, measures usage, enforces the limits and confirms stops.
     fn run_round(&mut self) {
         self.now += STEP_INTERVAL;
         self.record_usage();
@@ -133,7 +144,7 @@
         if overcommitted {
             assert!(
                 matches!(result, Err(Refusal::Overcommitted | Refusal::NotInClosing)),
-                "admitted while over: {result:?}"
+                "admitted while overcommitted: {result:?}"
             );
         }
         match result {
@@ -161,7 +172,8 @@
         }
     }
 
-    /// A closing that is only being prepared does not limit urgent work.
+    /// Returns the expected capacity for batch work. A closing in preparation does not limit urgent
+    /// work.
     fn batch_limit(&self, urgent: bool) -> Resources {
         match &self.limits.closing {
             Some(closing) if closing.enforced || !urgent => {
@@ -192,7 +204,7 @@
         self.ledger.set_limits(self.limits.clone());
     }
 
-    /// An agent restarts and adopts what runs.
+    /// Restarts the agent, which rebuilds its ledger from the running tasks.
     fn restart(&mut self) {
         self.ledger = Ledger::new(CAPACITY, MEASUREMENT_LAG);
         self.ledger.set_limits(self.limits.clone());
@@ -236,7 +248,7 @@
         for action in self.ledger.enforce_limits(self.now) {
             match action {
                 LimitAction::Throttle(attempt) => {
-                    assert!(overcommitted, "throttled without need");
+                    assert!(overcommitted, "throttled with no limit exceeded");
                     assert!(!self.stopping.contains(&attempt));
                     let task = self.tasks.get_mut(&attempt).unwrap();
                     task.throttled_at = Some(self.now);
@@ -248,19 +260,23 @@
                     let since = task.throttled_at.expect("evicted without a throttle");
                     assert!(
                         self.now >= since + MEASUREMENT_LAG * 2,
-                        "evicted before the throttle shows"
+                        "evicted before the measurements show the throttle"
                     );
                     let before = self.ledger.reserved();
                     self.ledger.mark_stopping(&attempt);
-                    assert_eq!(before, self.ledger.reserved(), "freed before the confirmation");
+                    assert_eq!(
+                        before,
+                        self.ledger.reserved(),
+                        "reservation freed before the stop is confirmed"
+                    );
                     assert!(self.stopping.insert(attempt), "evicted twice");
                 }
                 LimitAction::Restore(attempt) => {
-                    assert!(!overcommitted, "restored while over");
+                    assert!(!overcommitted, "restored while overcommitted");
                     let task = self.tasks.get_mut(&attempt).unwrap();
                     task.throttled_at = None;
                     task.speed = 100;
-                    assert!(!self.ledger.is_overcommitted(), "a restore took too much");
+                    assert!(!self.ledger.is_overcommitted(), "a restore exceeded a limit");
                 }
             }
         }
@@ -276,7 +292,10 @@
 
     fn check(&self) {
         let reserved = self.ledger.reserved();
-        assert!(self.total_held().fits_in(&reserved), "reserves less than declared and measured");
+        assert!(
+            self.total_held().fits_in(&reserved),
+            "reserves less than the declared needs and measured usage"
+        );
         let assigned = self.declared();
         assert!(assigned.fits_in(&CAPACITY.minus(&SERVICE)), "assigned over capacity");
         assert_eq!(self.ledger.batch_capacity(), self.batch_limit(false));
@@ -285,9 +304,9 @@
     }
 }
 
-/// Guards against a VM that is assigned more than it holds (invariant 1), with wrong declarations,
-/// growth, closings, restarts among running tasks and slow stops; and against growth that is
-/// never relieved.
+/// Guards against reservations above the capacity of a VM (invariant 1) under wrong declarations,
+/// growing usage, closings, agent restarts and slow stops, and against usage that stays above a
+/// limit.
 #[test]
 fn vm_is_never_assigned_more_than_it_holds() {
     schedules::run(SCHEDULES, |seed| {
@@ -295,20 +314,20 @@
         for _ in 0..STEPS {
             world.step();
         }
-        // Whatever is admitted may be declared too small, so nothing is while it settles.
-        for _ in 0..SETTLE_STEPS {
+        // An admitted task may outgrow its declared need, so nothing is admitted in these rounds.
+        for _ in 0..SETTLE_ROUNDS {
             world.run_round();
         }
         assert!(
             !world.ledger.is_overcommitted(),
-            "seed {seed}: still over after {SETTLE_STEPS} steps"
+            "seed {seed}: still overcommitted after {SETTLE_ROUNDS} rounds"
         );
         1
     });
 }
 
-/// Guards against a closing that leaves batch work of other classes above its limit, or evicts
-/// the closing's own work first.
+/// Guards against a closing that does not bring batch work below its limit, or that evicts tasks of
+/// its own classes first.
 #[test]
 fn closing_frees_its_room_from_other_classes_first() {
     let mut ledger = Ledger::new(CAPACITY, MEASUREMENT_LAG);
@@ -334,7 +353,7 @@
 }
 
 /// Guards against urgent work that waits for minutes while a closing is prepared, and against
-/// urgent work above the limit once the closing has begun.
+/// urgent work above the limit once the closing is enforced.
 #[test]
 fn urgent_work_may_exceed_the_limit_of_a_closing_that_is_only_prepared() {
     let mut ledger = Ledger::new(CAPACITY, MEASUREMENT_LAG);
--- a/crates/core/tests/support/cell_world.rs
+++ b/crates/core/tests/support/cell_world.rs
@@ -1,5 +1,5 @@
-//! Owners of a cell, their journal, the callers that submit jobs, and the messages between them, on
-//! virtual time. A world adds its VMs and its faults.
+//! Discrete-event simulation of a cell on virtual time: its owners, their journal, the callers that
+//! submit jobs, and the messages between them. The test that uses it adds VMs and faults.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -19,7 +19,7 @@
     Duration::from_millis(number)
 }
 
-/// `I` is what the world handles itself.
+/// Scheduled event of the simulation. `I` is the type of the events that the test handles itself.
 #[derive(Clone)]
 pub enum Input<I> {
     Poll(usize),
@@ -35,7 +35,7 @@
 }
 
 impl<I> Input<I> {
-    /// Owner to which an input goes, as far as that matters to a pause of it.
+    /// Returns the owner that processes the input, if a pause of that owner delays the input.
     fn target(&self) -> Option<usize> {
         match self {
             Input::Poll(owner)
@@ -48,7 +48,7 @@
     }
 }
 
-/// An answer that arrives at a VM.
+/// Answer of an owner on its way to an agent.
 #[derive(Debug, Clone)]
 pub struct Answer {
     pub agent: String,
@@ -56,23 +56,30 @@
     pub orders: Orders,
 }
 
+/// Simulated store with the journal of the cell.
 #[derive(Default)]
 pub struct Store {
     journal: Journal,
+    /// End of the store's outage.
     pub down_until: Time,
+    /// End of a period in which commits are slow.
     pub slow_until: Time,
 }
 
+/// Result of a simulation run.
 pub struct RunResult {
     pub history: Vec<Fact>,
+    /// State after all committed events.
     pub end: CellState,
     pub ended_at: Time,
 }
 
 impl RunResult {
+    /// Checks the history against the lifecycle rules.
+    ///
     /// # Panics
     ///
-    /// Panics when the history breaks a rule.
+    /// Panics if the history violates a rule.
     pub fn check(&self, seed: u64) {
         if let Err((violation, detail)) = history::check(&self.history, &self.end) {
             panic!("seed {seed}: {violation:?} at {:?}: {detail}", self.ended_at);
@@ -80,29 +87,38 @@
     }
 }
 
+/// Durations and delays of a simulation run.
 #[derive(Debug, Clone, Copy)]
 pub struct Timing {
     pub settings: CellSettings,
-    /// From here messages arrive once and soon.
+    /// Time from which each message arrives exactly once and without a long delay.
     pub faults_end: Time,
+    /// Time at which the run is aborted.
     pub time_limit: Time,
-    /// Limits of the usual and of the late delays of messages, in milliseconds.
+    /// Upper limit of the usual message delay.
     pub max_delay_ms: u64,
+    /// Upper limit of the delay of late messages.
     pub max_late_ms: u64,
-    /// One message in this many is late.
+    /// Average number of messages of which one is late.
     pub late_one_in: u8,
 }
 
+/// State of the simulation.
 pub struct CellWorld<I> {
     pub now: Time,
     pub rng: Rng,
     timing: Timing,
+    /// Scheduled inputs, by time and number.
     inputs: BTreeMap<(Time, u64), Input<I>>,
+    /// Last number given to an input or a ticket.
     last_number: u64,
     pub store: Store,
+    /// All owners so far; the last one is current.
     pub owners: Vec<Owner>,
     pub jobs: Vec<JobSpec>,
+    /// Indexes of jobs by the ticket of their submission.
     tickets: BTreeMap<u64, usize>,
+    /// Indexes of jobs whose submission was confirmed.
     promised: BTreeSet<usize>,
     pub history: Vec<Fact>,
 }
@@ -124,7 +140,8 @@
         }
     }
 
-    /// Handles inputs up to the next one of the world; `None` when the schedule has ended.
+    /// Processes inputs until one is for the test, and returns that one; `None` at the end of the
+    /// run.
     pub fn next(&mut self) -> Option<I> {
         while !(self.now > self.timing.faults_end && self.is_done()
             || self.now > self.timing.time_limit)
@@ -141,11 +158,13 @@
         None
     }
 
+    /// Returns the history and the final state.
     pub fn end(self) -> RunResult {
         let end = self.store.journal.replay();
         RunResult { history: self.history, end, ended_at: self.now }
     }
 
+    /// Adds a job and schedules its submission.
     pub fn add_job(&mut self, job: JobSpec, submit_at: Time) -> usize {
         self.jobs.push(job);
         let index = self.jobs.len() - 1;
@@ -153,21 +172,24 @@
         index
     }
 
+    /// Schedules an input.
     pub fn after(&mut self, delay: Duration, input: Input<I>) {
         self.last_number += 1;
         self.inputs.insert((self.now + delay, self.last_number), input);
     }
 
+    /// Tells whether the period with faults is over.
     pub fn faults_ended(&self) -> bool {
         self.now >= self.timing.faults_end
     }
 
-    /// Index of the current owner.
+    /// Returns the index of the current owner.
     pub fn newest(&self) -> usize {
         self.owners.len() - 1
     }
 
-    /// Delivers a message: late, twice, overtaken or not at all while faults last.
+    /// Schedules the arrival of a message. While faults last, the message may be delayed,
+    /// reordered, duplicated or lost.
     pub fn deliver(&mut self, input: Input<I>) {
         let copies = match self.rng.u8(0..100) {
             _ if self.faults_ended() => 1,
@@ -183,6 +205,7 @@
         }
     }
 
+    /// Tells whether all jobs were confirmed and have ended, with all events committed.
     fn is_done(&self) -> bool {
         let Some(cell) = self.owners.last().and_then(|owner| owner.cell.as_ref()) else {
             return false;
@@ -221,6 +244,7 @@
         }
     }
 
+    /// Starts a new owner, whose clock deviates by up to 1 percent, once the store is reachable.
     pub fn take_over(&mut self) {
         if self.now < self.store.down_until {
             return self.after(ms(500), Input::TakeOver);
@@ -233,6 +257,7 @@
         self.after(ms(100), Input::Poll(self.newest()));
     }
 
+    /// Returns the time by the clock of an owner.
     fn local_time(&self, owner: usize) -> Time {
         self.now.mul_f64(self.owners[owner].clock_rate)
     }
@@ -261,6 +286,7 @@
         }
     }
 
+    /// Sends the owner's batch to the journal, and schedules a retry.
     fn commit(&mut self, owner: usize) {
         let (sent, batch) = (self.local_time(owner), self.owners[owner].batch);
         let Some(events) = self.owners[owner].take_batch() else { return };
@@ -275,6 +301,7 @@
         self.after(ms(2_000), Input::Retry { owner, batch });
     }
 
+    /// Processes a batch that has reached the journal.
     fn write(&mut self, owner: usize, batch: u64, events: Vec<Event>, sent: Time) {
         if !self.reaches_store(owner) {
             return;
@@ -285,7 +312,7 @@
         self.deliver(Input::Committed { owner, batch, sent, fenced });
     }
 
-    /// Releases the effects of what is committed.
+    /// Carries out the effects whose events are committed.
     fn release_effects(&mut self, owner: usize) {
         let Some(cell) = &mut self.owners[owner].cell else { return };
         for effect in cell.take_effects() {
@@ -307,6 +334,7 @@
         }
     }
 
+    /// Submits a job to the current owner, and again every three seconds until it is confirmed.
     fn submit(&mut self, job: usize) {
         if self.promised.contains(&job) {
             return;
@@ -326,15 +354,21 @@
         self.release_effects(owner);
     }
 
+    /// Cancels a job, and checks that another team cannot.
     pub fn cancel(&mut self, job: usize) {
         let Some(cell) = self.owners.last_mut().and_then(|owner| owner.cell.as_mut()) else {
             return;
         };
         let reply = cell.cancel(Some("team"), &self.jobs[job].id, u64::MAX);
         let other = cell.cancel(Some("other"), &self.jobs[job].id, u64::MAX);
-        assert_eq!(other, CancelReply::NotFound, "cancelled by another team: {reply:?}");
+        assert_eq!(
+            other,
+            CancelReply::NotFound,
+            "visible to another team; reply to the own team: {reply:?}"
+        );
     }
 
+    /// Passes a report to an owner, and answers it now if orders wait or else after one second.
     fn report(&mut self, owner: usize, report: Report) {
         let local_time = self.local_time(owner);
         if !self.owners[owner].accept_report(local_time, &report) {
@@ -352,6 +386,7 @@
         self.after(ms(1_000), Input::AnswerDue { owner, agent, incarnation, sequence });
     }
 
+    /// Sends the answer to the open report of an agent.
     fn answer(&mut self, owner: usize, agent: &str) {
         let local_time = self.local_time(owner);
         let answered = self.owners[owner].answer(local_time, agent, &mut self.history);
--- a/crates/core/tests/support/owners.rs
+++ b/crates/core/tests/support/owners.rs
@@ -1,4 +1,4 @@
-//! Owners of a cell, and the journal that they share.
+//! Simulated owner processes of a cell, and the journal that they share.
 
 use std::collections::BTreeMap;
 
@@ -11,22 +11,25 @@
 
 use crate::history::Fact;
 
-/// Journal of the cell.
+/// Journal of the committed events of a cell, fenced by the epoch.
 #[derive(Default)]
 pub struct Journal {
     log: Vec<Event>,
+    /// Epoch of the current owner.
     pub epoch: Epoch,
+    /// Epoch and number of the last batch written.
     last_batch: (Epoch, u64),
 }
 
 impl Journal {
+    /// Returns the state after all events of the journal.
     pub fn replay(&self) -> CellState {
         let mut state = CellState::default();
         self.log.iter().for_each(|event| state.apply(event));
         state
     }
 
-    /// Begins the next epoch. `now` is the time by the clock of its owner.
+    /// Begins the next epoch and returns its owner. `now` is the time by the owner's clock.
     pub fn take_over(
         &mut self,
         now: Time,
@@ -48,8 +51,9 @@
         cell
     }
 
-    /// Appends a batch of the owner of `epoch`. Tells whether that owner is fenced off, or nothing
-    /// for a delayed copy of an earlier batch, which fails the compare-and-swap.
+    /// Appends a batch of the owner of `epoch`. Tells whether that owner is fenced; `None` for a
+    /// delayed copy of an earlier batch, which fails the compare-and-swap. Repeating the last batch
+    /// has no effect.
     pub fn write(
         &mut self,
         epoch: Epoch,
@@ -77,17 +81,20 @@
     }
 }
 
-/// An owner process.
+/// Owner process.
 pub struct Owner {
-    /// Absent once the process was killed.
+    /// `None` after the process was killed.
     pub cell: Option<Cell>,
+    /// Speed of the owner's clock relative to true time.
     pub clock_rate: f64,
+    /// Number of the last batch.
     pub batch: u64,
+    /// Whether a batch was sent to the journal and not confirmed yet.
     pub is_committing: bool,
-    /// Reports that wait for their answer.
+    /// Incarnation and sequence number of each agent's report that waits for an answer.
     pending_reports: BTreeMap<String, (Incarnation, u64)>,
     pub paused_until: Time,
-    /// Cut off from the store.
+    /// End of a network partition between the owner and the store.
     pub store_cut_until: Time,
 }
 
@@ -104,7 +111,7 @@
         }
     }
 
-    /// Polls the cell; tells whether it is to be polled again.
+    /// Polls the cell. Tells whether to poll it again.
     pub fn poll(&mut self, now: Time, reaches_store: bool, is_current: bool) -> bool {
         let Some(cell) = &mut self.cell else { return false };
         match reaches_store {
@@ -116,14 +123,14 @@
         !cell.is_stopped() || is_current
     }
 
-    /// Takes the batch to write, a new one or the one whose commit is open.
+    /// Returns the batch to write: a new one, or the one whose commit is not confirmed yet.
     pub fn take_batch(&mut self) -> Option<Vec<Event>> {
         let events = self.cell.as_mut()?.take_batch();
         self.is_committing = !events.is_empty();
         self.is_committing.then_some(events)
     }
 
-    /// Takes the answer of the journal; tells whether the batch is committed.
+    /// Processes the journal's reply to a batch. Tells whether the batch is now committed.
     pub fn handle_commit(&mut self, batch: u64, sent: Time, fenced: bool) -> bool {
         let is_open = self.is_committing && self.batch == batch;
         let Some(cell) = self.cell.as_mut().filter(|_| is_open) else { return false };
@@ -137,7 +144,7 @@
         true
     }
 
-    /// Takes a report and holds it; tells whether it counts.
+    /// Processes a report, and keeps it open for an answer. Tells whether the report was accepted.
     pub fn accept_report(&mut self, now: Time, report: &Report) -> bool {
         let Some(cell) = &mut self.cell else { return false };
         if cell.report(now, report) != ReportStatus::Accepted {
@@ -147,11 +154,12 @@
         true
     }
 
+    /// Tells whether this report of the agent still waits for an answer.
     pub fn is_pending(&self, agent: &str, incarnation: Incarnation, sequence: u64) -> bool {
         self.pending_reports.get(agent) == Some(&(incarnation, sequence))
     }
 
-    /// Answers the held report of an agent.
+    /// Answers the open report of an agent.
     pub fn answer(
         &mut self,
         now: Time,
