--- a/crates/core/src/cell/answer.rs
+++ b/crates/core/src/cell/answer.rs
@@ -25,14 +25,14 @@
     /// acknowledgements, a challenge or a new epoch are waiting for it.
     pub fn has_orders(&self, now: Time, agent: &str) -> bool {
         let Some(worker) = self.workers.by_agent(agent) else { return false };
-        let granting = self.may_grant(now);
+        let is_granting = self.may_grant(now);
         self.is_stopped()
             || worker.epoch < self.state.epoch
             || worker.candidate.is_some_and(|candidate| !candidate.sent)
             || worker.results.iter().any(|id| self.is_acknowledged(worker, id))
             || worker.orphans.values().any(|sent| is_resend_due(*sent, now))
             || worker.attempts.values().any(|live| {
-                self.is_stop_due(live, now) || (granting && self.is_start_due(worker, live, now))
+                self.is_stop_due(live, now) || (is_granting && self.is_start_due(worker, live, now))
             })
     }
 
@@ -51,7 +51,9 @@
         let mut orders = Orders { epoch: self.state.epoch, sequence, ..Orders::default() };
         if let Some(worker) = self.workers.by_agent_mut(agent) {
             let candidate = worker.candidate.as_mut();
-            if let Some(candidate) = candidate.filter(|one| one.incarnation == incarnation) {
+            if let Some(candidate) =
+                candidate.filter(|candidate| candidate.incarnation == incarnation)
+            {
                 candidate.sent = true;
                 orders.challenge = candidate.challenge;
                 return Some(orders);
--- a/crates/core/src/cell/attempts.rs
+++ b/crates/core/src/cell/attempts.rs
@@ -71,14 +71,14 @@
         worker.last_report = Some(now);
         worker.results = report.results.iter().map(|result| result.attempt.clone()).collect();
         let max_capacity = worker.max_capacity.max(&report.batch_capacity);
-        let grown = max_capacity != worker.max_capacity;
+        let has_grown = max_capacity != worker.max_capacity;
         worker.max_capacity = max_capacity;
         if worker.unfenced && epoch_accepted {
             // The agent now rejects earlier owners, so the leases that they granted expire.
             worker.unfenced = false;
             worker.lease_expiry = now + wait;
         }
-        if grown {
+        if has_grown {
             self.fit_cache.clear();
         }
     }
@@ -150,7 +150,7 @@
             report.running.iter().map(|task| (&task.attempt, &task.measured)).collect();
         self.record_usage(report);
         let Some(worker) = self.workers.get_mut(slot) else { return };
-        let mut gone = Vec::new();
+        let mut ended = Vec::new();
         for ((job, task), live) in &mut worker.attempts {
             let id = AttemptId { job: job.clone(), task: *task, token: live.token };
             live.reported = listed.contains_key(&id);
@@ -158,8 +158,8 @@
             live.expected_usage = self.job_usage.get(job).copied().unwrap_or_default();
             if live.reported {
                 live.stage = Stage::Running;
-            } else if is_gone(live, report, epoch_accepted) {
-                gone.push(id);
+            } else if has_ended(live, report, epoch_accepted) {
+                ended.push(id);
             }
         }
         let attempts = &worker.attempts;
@@ -173,7 +173,7 @@
         for id in orphans {
             worker.orphans.entry(id).or_insert(None);
         }
-        for id in gone {
+        for id in ended {
             self.end_attempt(slot, Event::Requeued { attempt: id.clone(), checkpoint: None }, &id);
         }
     }
@@ -182,7 +182,7 @@
     pub(super) fn end_attempt(&mut self, slot: usize, event: Event, id: &AttemptId) {
         let Some(job) = self.state.jobs.get(&id.job) else { return };
         let (team, need) = (job.spec.team.clone(), job.spec.need);
-        let old_phase = job.phase;
+        let previous_phase = job.phase;
         self.propose(event);
         if let Some(used) = self.team_reserved.get_mut(&team) {
             *used = used.minus(&need);
@@ -199,7 +199,7 @@
         }
         self.reindex_available(slot);
         self.sync_job(&id.job);
-        self.stop_attempts(&id.job, old_phase);
+        self.stop_attempts(&id.job, previous_phase);
     }
 
     /// Decrements the number of the job's running tasks in a rack.
@@ -213,9 +213,11 @@
 
     /// Orders the remaining attempts of a job to stop if the job has just left the active phase.
     /// `old_phase` is the phase before the last event.
-    pub(super) fn stop_attempts(&mut self, id: &JobId, old_phase: Phase) {
+    pub(super) fn stop_attempts(&mut self, id: &JobId, previous_phase: Phase) {
         let Some(job) = self.state.jobs.get(id) else { return };
-        if old_phase != Phase::Active || !matches!(job.phase, Phase::Cancelling | Phase::Failing) {
+        if previous_phase != Phase::Active
+            || !matches!(job.phase, Phase::Cancelling | Phase::Failing)
+        {
             return;
         }
         let attempts: Vec<(TaskIndex, AgentId)> =
@@ -265,7 +267,7 @@
 
 /// Tells whether an attempt that a report does not list has ended or will never start.
 /// `epoch_accepted` tells whether the agent has accepted this owner's epoch.
-fn is_gone(live: &LiveAttempt, report: &Report, epoch_accepted: bool) -> bool {
+fn has_ended(live: &LiveAttempt, report: &Report, epoch_accepted: bool) -> bool {
     // Until the agent accepts this epoch, a delayed order from an earlier owner may start the
     // attempt.
     match live.stage {
@@ -276,10 +278,10 @@
         // Another incarnation never gets the order, and lists the attempts that its predecessor
         // started.
         Stage::Ordered => {
-            let is_passed = live
+            let is_order_lost = live
                 .start_sent
                 .is_some_and(|sent| sent.sequence < report.sequence && live.stop_event.is_some());
-            live.target != Some(report.incarnation) || is_passed
+            live.target != Some(report.incarnation) || is_order_lost
         }
     }
 }
--- a/crates/core/src/cell/faults.rs
+++ b/crates/core/src/cell/faults.rs
@@ -12,12 +12,14 @@
 const QUARANTINE_THRESHOLD: usize = 3;
 /// Length of the first quarantine of a worker; doubles with each further one.
 const BASE_QUARANTINE: Duration = Duration::from_secs(60);
+/// Upper limit of the length of a quarantine.
 const MAX_QUARANTINE: Duration = Duration::from_secs(15 * 60);
 /// Time without new tasks for a worker after it refused a start. The agent's next reports show the
 /// reason for the refusal, such as less free capacity.
 const REFUSAL_BACKOFF: Duration = Duration::from_secs(1);
 
 impl Cell {
+    /// Tells whether the worker in this slot is quarantined.
     pub(super) fn is_quarantined(&self, now: Time, slot: usize) -> bool {
         self.workers.get(slot).is_some_and(|worker| worker.is_quarantined(now))
     }
--- a/crates/core/src/cell/jobs.rs
+++ b/crates/core/src/cell/jobs.rs
@@ -57,13 +57,21 @@
     pub team: TeamId,
     pub class: String,
     pub cell: CellId,
+    /// Name of the state, such as `queued` or `running`.
     pub state: &'static str,
+    /// Reason for which the job failed or cannot run.
     pub reason: Option<String>,
+    /// Number of all tasks.
     pub tasks: u32,
+    /// Number of tasks that wait for a start.
     pub queued: u32,
+    /// Number of current attempts.
     pub running: u32,
+    /// Number of completed tasks.
     pub completed: u32,
+    /// Number of attempts started so far.
     pub attempts: u64,
+    /// Number of attempts evicted so far.
     pub evictions: u64,
 }
 
@@ -118,11 +126,11 @@
     pub(super) fn propose_cancel(&mut self) -> bool {
         let Some((id, ticket)) = self.pending_cancels.pop_front() else { return false };
         self.cancelling.remove(&id);
-        if let Some(old_phase) = self.state.jobs.get(&id).map(|job| job.phase) {
-            if old_phase == Phase::Active {
+        if let Some(previous_phase) = self.state.jobs.get(&id).map(|job| job.phase) {
+            if previous_phase == Phase::Active {
                 self.propose(Event::CancelRequested { job: id.clone() });
                 self.sync_job(&id);
-                self.stop_attempts(&id, old_phase);
+                self.stop_attempts(&id, previous_phase);
             }
         }
         self.after_commit(Effect::Durable(ticket));
@@ -149,6 +157,7 @@
         jobs.into_iter().take(MAX_LISTED_JOBS).map(|job| self.view(cell, job)).collect()
     }
 
+    /// Returns the status of a job.
     fn view(&self, cell: &str, job: &Job) -> JobView {
         JobView {
             id: job.spec.id.clone(),
--- a/crates/core/src/cell/owner.rs
+++ b/crates/core/src/cell/owner.rs
@@ -94,7 +94,9 @@
     /// Limit of each class on one VM, by class number; `None` for a class that was removed.
     pub(super) class_limits: Vec<Option<Resources>>,
     pub(super) workers: Workers,
+    /// Workers that may get tasks, by available CPU.
     pub(super) index: Index,
+    /// Jobs with waiting tasks.
     pub(super) queue: Queue,
     /// Proposed events that are not committed yet, oldest first.
     pending: VecDeque<Event>,
@@ -128,7 +130,9 @@
     pub(super) takeover_at: Time,
     /// Start of the last exchange with the store that confirmed this owner.
     store_contact: Time,
+    /// Whether this owner has stopped granting for good.
     stopped: bool,
+    /// Time of the next check for expired leases.
     next_sweep: Time,
     /// Requeued tasks that may be started now; refilled at a fixed rate.
     pub(super) requeue_budget: f64,
--- a/crates/core/src/cell/placement.rs
+++ b/crates/core/src/cell/placement.rs
@@ -38,6 +38,7 @@
 /// Initial backoff of a job before it is retried on a worker on which it failed; doubles with each
 /// failure.
 const BASE_RETRY_BACKOFF: Duration = Duration::from_secs(1);
+/// Upper limit of the retry backoff.
 const MAX_RETRY_BACKOFF: Duration = Duration::from_secs(60);
 
 /// Placement index: slot numbers of workers that may get tasks, ordered by the CPU available to
@@ -294,20 +295,21 @@
                     && accepts(worker_filter, worker)
             })
         };
-        let nearest = index.range((need.cpu_milli, 0)..).map(|(_, slot)| *slot);
-        let mut found: Vec<usize> = nearest
+        let by_free_cpu = index.range((need.cpu_milli, 0)..).map(|(_, slot)| *slot);
+        let mut candidates: Vec<usize> = by_free_cpu
             .clone()
             .take(MAX_EXAMINED_WORKERS)
             .filter(|slot| is_suitable(*slot))
             .take(MAX_COMPARED_WORKERS)
             .collect();
-        if worker_filter.job.urgent || found.is_empty() {
-            self.probe(index, need.cpu_milli, rng, &mut found, &is_suitable);
+        if worker_filter.job.urgent || candidates.is_empty() {
+            self.probe(index, need.cpu_milli, rng, &mut candidates, &is_suitable);
         }
-        if found.is_empty() {
-            found.extend(nearest.skip(MAX_EXAMINED_WORKERS).find(|slot| is_suitable(*slot)));
+        if candidates.is_empty() {
+            candidates
+                .extend(by_free_cpu.skip(MAX_EXAMINED_WORKERS).find(|slot| is_suitable(*slot)));
         }
-        found.into_iter().min_by_key(|slot| self.rank(*slot, worker_filter.job))
+        candidates.into_iter().min_by_key(|slot| self.rank(*slot, worker_filter.job))
     }
 
     /// Returns the expected usage of a task of the job. For urgent jobs this is the declared need,
@@ -327,14 +329,14 @@
         index: &BTreeSet<(u64, usize)>,
         from: u64,
         rng: &mut fastrand::Rng,
-        found: &mut Vec<usize>,
+        candidates: &mut Vec<usize>,
         is_suitable: &impl Fn(usize) -> bool,
     ) {
         let to = index.last().map_or(from, |(cpu, _)| *cpu).max(from);
         for _ in 0..RANDOM_PROBES {
             let start = (rng.u64(from..=to), rng.usize(0..=self.workers.slots()));
             let slot = index.range(start..).next().map(|(_, slot)| *slot);
-            found.extend(slot.filter(|slot| is_suitable(*slot)));
+            candidates.extend(slot.filter(|slot| is_suitable(*slot)));
         }
     }
 
@@ -424,6 +426,7 @@
         }
     }
 
+    /// Adds a worker to the index.
     fn insert_index(&mut self, slot: usize) {
         let Some(worker) = self.workers.get_mut(slot) else { return };
         // The CPU available to urgent tasks is never below that available to other tasks.
--- a/crates/core/src/cell/queue.rs
+++ b/crates/core/src/cell/queue.rs
@@ -26,6 +26,7 @@
         matches!(self, Lane::UrgentRequeued | Lane::Requeued)
     }
 
+    /// Returns the lane for tasks of an urgent or other job, requeued or never started.
     fn new(urgent: bool, requeued: bool) -> Lane {
         match (urgent, requeued) {
             (true, false) => Lane::UrgentUnstarted,
--- a/crates/core/src/cell/state.rs
+++ b/crates/core/src/cell/state.rs
@@ -211,6 +211,7 @@
     pub spec: JobSpec,
     /// Digest of the specification, set when the job ends and its command is dropped.
     digest: Option<u64>,
+    /// Whether the class of the job was urgent at submission.
     pub urgent: bool,
     /// Position in the order of submission.
     pub submit_order: u64,
--- a/crates/core/src/cell/worker.rs
+++ b/crates/core/src/cell/worker.rs
@@ -30,6 +30,7 @@
 pub(super) struct StartSent {
     /// Sequence number of the answered report.
     pub sequence: u64,
+    /// Time at which the answer was built.
     pub at: Time,
 }
 
@@ -50,6 +51,7 @@
     pub target: Option<Incarnation>,
     /// Sequence number of the event whose commit allows the start order.
     pub start_event: u64,
+    /// Last answer with the start order; `None` if the order was not sent yet.
     pub start_sent: Option<StartSent>,
     /// Sequence number of the event whose commit allows a stop order; `None` if the attempt is not
     /// to be stopped.
@@ -84,7 +86,9 @@
 #[derive(Debug, Clone)]
 pub(super) struct Worker {
     pub agent: AgentId,
+    /// Current incarnation of the agent; `None` before the first report.
     pub incarnation: Option<Incarnation>,
+    /// Incarnation that has reported but not echoed its challenge yet.
     pub candidate: Option<Candidate>,
     /// Sequence number of the newest report of `incarnation`.
     pub sequence: Option<u64>,
@@ -115,6 +119,7 @@
     pub expected_growth: Resources,
     /// Reported interference: slow-down of the VM's services by batch work, in percent.
     pub pressure: u32,
+    /// Time of the last accepted report to this owner.
     pub last_report: Option<Time>,
     /// Time by which every lease that any owner may have granted has expired.
     pub lease_expiry: Time,
@@ -182,11 +187,11 @@
 
     /// Tells whether a report comes from another incarnation that has not echoed its challenge.
     pub fn is_unverified(&self, incarnation: Incarnation, echo: u64) -> bool {
-        let proved = |candidate: Candidate| {
+        let has_echoed = |candidate: Candidate| {
             candidate.incarnation == incarnation && candidate.challenge == echo
         };
         self.incarnation.is_some_and(|current| current != incarnation)
-            && !self.candidate.is_some_and(proved)
+            && !self.candidate.is_some_and(has_echoed)
     }
 
     /// Records a report from an unverified incarnation. A new candidate gets `challenge`, which
@@ -212,6 +217,7 @@
         self.sequence = Some(sequence);
     }
 
+    /// Tells whether the worker gets no tasks because it was found faulty.
     pub fn is_quarantined(&self, now: Time) -> bool {
         now < self.quarantined_until
     }
@@ -319,6 +325,7 @@
         }
     }
 
+    /// Sets whether the worker is leaving.
     pub fn set_state(&mut self, state: AgentState) {
         self.leaving = state == AgentState::Leaving;
     }
@@ -329,10 +336,14 @@
 pub struct WorkerView {
     pub agent: AgentId,
     pub rack: String,
+    /// Name of the state, such as `ready` or `silent`.
     pub state: &'static str,
     pub capacity: Resources,
+    /// Reported free capacity for tasks that are not urgent.
     pub free: Resources,
+    /// Number of attempts that may be running.
     pub attempts: usize,
+    /// Slow-down of the VM's services by batch work, in percent.
     pub pressure_percent: u32,
 }
 
@@ -344,6 +355,7 @@
     /// Slot numbers free for reuse.
     vacant: Vec<usize>,
     slots_by_agent: BTreeMap<AgentId, usize>,
+    /// Number of each rack, by rack name.
     rack_numbers: BTreeMap<String, usize>,
 }
 
@@ -403,6 +415,7 @@
         }
     }
 
+    /// Removes a worker and frees its slot.
     pub fn remove(&mut self, slot: usize) {
         if let Some(worker) = self.slots.get_mut(slot).and_then(Option::take) {
             self.slots_by_agent.remove(&worker.agent);
@@ -410,6 +423,7 @@
         }
     }
 
+    /// Returns all workers with their slot numbers.
     pub fn iter(&self) -> impl Iterator<Item = (usize, &Worker)> {
         self.slots.iter().enumerate().filter_map(|(slot, worker)| Some((slot, worker.as_ref()?)))
     }
--- a/crates/core/src/ledger.rs
+++ b/crates/core/src/ledger.rs
@@ -45,19 +45,18 @@
 /// Reason for which [`Ledger::admit`] refuses a task.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Refusal {
+    /// No limits were set yet.
     NoConfiguration,
+    /// The configuration has no class with this name.
     UnknownClass,
     /// Reservations of running tasks exceed a limit; nothing starts until they are back below it.
     Overcommitted,
+    /// A closing allows only other classes to start.
     NotInClosing,
-    ClassLimit {
-        need: Resources,
-        available: Resources,
-    },
-    Capacity {
-        need: Resources,
-        available: Resources,
-    },
+    /// The task does not fit the limit of its class.
+    ClassLimit { need: Resources, available: Resources },
+    /// The task does not fit the free capacity for batch work.
+    Capacity { need: Resources, available: Resources },
 }
 
 impl fmt::Display for Refusal {
@@ -105,6 +104,7 @@
 pub struct TaskDemand {
     pub class: String,
     pub need: Resources,
+    /// Whether the task belongs to an urgent class.
     pub urgent: bool,
     /// Last measured usage, of this attempt or an earlier one; zero if unknown.
     pub measured: Resources,
@@ -120,7 +120,9 @@
     full_usage: Resources,
     /// Whether a stop was ordered; the reservation stays until the stop is confirmed.
     stopping: bool,
+    /// Time since which the task is throttled.
     throttled_at: Option<Time>,
+    /// Time of the last return to full speed.
     restored_at: Option<Time>,
 }
 
@@ -139,6 +141,7 @@
     /// Time until a throttle or restore shows in the measurements: twice their lag.
     settle_time: Time,
     tasks: BTreeMap<AttemptId, Reservation>,
+    /// Position of the next task in the order of admission.
     next_order: u64,
 }
 
--- a/crates/core/tests/cell_owner/fixture.rs
+++ b/crates/core/tests/cell_owner/fixture.rs
@@ -21,6 +21,7 @@
     Duration::from_millis(number)
 }
 
+/// Returns a job whose tasks need `cpu` thousandths of a core and 100 MiB.
 pub fn spec(id: &str, class: &str, tasks: u32, cpu: u64) -> JobSpec {
     JobSpec {
         id: id.to_owned(),
@@ -32,6 +33,7 @@
     }
 }
 
+/// Returns the limits of a normal and an urgent class, and a CPU quota of one team.
 pub fn limits(quota: u64) -> Limits {
     let limit = Resources::new(16_000, 64_000, 4);
     Limits {
@@ -57,6 +59,8 @@
 }
 
 impl Fixture {
+    /// Creates an owner and agents with `cpu` thousandths of a core each, after the discovery
+    /// period.
     pub fn new(agents: usize, cpu: u64, quota: u64) -> Self {
         let agents = (0..agents).map(|n| (format!("vm-{n}"), Vec::new(), Vec::new()));
         let settings = CellSettings::default();
@@ -168,6 +172,7 @@
         results.extend(ended.map(|attempt| TaskResult { attempt, outcome: outcome.clone() }));
     }
 
+    /// Submits a new job.
     pub fn submit(&mut self, spec: JobSpec) {
         assert_eq!(self.cell.submit(spec, 1), SubmitReply::Created);
     }
--- a/crates/core/tests/composed/world.rs
+++ b/crates/core/tests/composed/world.rs
@@ -141,7 +141,7 @@
         world.add_jobs();
         world.cell.take_over();
         (0..VMS).for_each(|vm| world.boot(vm, None));
-        world.after(VM_STEP, WorldInput::Vms);
+        world.schedule(VM_STEP, WorldInput::Vms);
         world.add_faults();
         world
     }
@@ -165,11 +165,11 @@
             cell.add_job(job, ms(at));
             if cell.rng.u8(0..3) == 0 {
                 let lead = cell.rng.u64(0..200).min(at);
-                cell.after(ms(at - lead), Input::World(WorldInput::SplitBrain));
+                cell.schedule(ms(at - lead), Input::World(WorldInput::SplitBrain));
             }
             if cell.rng.u8(0..4) == 0 {
                 let at = cell.rng.u64(at..22_000);
-                cell.after(ms(at), Input::Cancel(index));
+                cell.schedule(ms(at), Input::Cancel(index));
             }
         }
     }
@@ -178,16 +178,16 @@
     fn add_faults(&mut self) {
         for _ in 0..self.cell.rng.usize(1..6) {
             let at = self.cell.rng.u64(1_000..FAULTS_END.as_millis() as u64 - 2_000);
-            self.after(ms(at), WorldInput::Fault);
+            self.schedule(ms(at), WorldInput::Fault);
             if self.cell.rng.bool() {
                 let second = at + self.cell.rng.u64(0..2_000);
-                self.after(ms(second), WorldInput::Fault);
+                self.schedule(ms(second), WorldInput::Fault);
             }
         }
     }
 
-    fn after(&mut self, delay: Duration, input: WorldInput) {
-        self.cell.after(delay, Input::World(input));
+    fn schedule(&mut self, delay: Duration, input: WorldInput) {
+        self.cell.schedule(delay, Input::World(input));
     }
 
     fn handle(&mut self, input: WorldInput) {
@@ -203,7 +203,7 @@
             WorldInput::CutOwner(SplitBrain { former, .. }) => {
                 let until = self.cell.now + ms(self.cell.rng.u64(6_000..10_000));
                 self.cell.owners[former].store_cut_until = until.min(FAULTS_END);
-                self.cell.after(DETECTION, Input::TakeOver);
+                self.cell.schedule(DETECTION, Input::TakeOver);
             }
             WorldInput::ToSuccessor(split_brain) => self.report_to_successor(split_brain),
             WorldInput::ToFormer(split_brain) => self.report_to_former(split_brain),
@@ -222,21 +222,21 @@
         match fault {
             Fault::KillOwner => {
                 self.cell.owners[current].cell = None;
-                self.cell.after(DETECTION, Input::TakeOver);
+                self.cell.schedule(DETECTION, Input::TakeOver);
             }
             Fault::PauseOwner => {
                 self.cell.owners[current].paused_until = until;
-                self.cell.after(DETECTION, Input::TakeOver);
+                self.cell.schedule(DETECTION, Input::TakeOver);
             }
             Fault::CutOwner => {
                 self.cell.owners[current].store_cut_until = until.min(FAULTS_END);
-                self.cell.after(DETECTION, Input::TakeOver);
+                self.cell.schedule(DETECTION, Input::TakeOver);
             }
             Fault::ReleaseOwner => {
                 if let Some(cell) = &mut self.cell.owners[current].cell {
                     cell.release();
                 }
-                self.cell.after(DETECTION, Input::TakeOver);
+                self.cell.schedule(DETECTION, Input::TakeOver);
             }
             Fault::KillAgent => self.kill_agent(vm),
             Fault::FreezeAgent => self.vms[vm].frozen_until = until,
@@ -271,13 +271,13 @@
     fn kill_agent(&mut self, vm: usize) {
         self.vms[vm].agent = None;
         let delay = ms(self.cell.rng.u64(50..6_000));
-        self.after(delay, WorldInput::Boot(vm, None));
+        self.schedule(delay, WorldInput::Boot(vm, None));
     }
 
     fn kill_agent_later(&mut self, vm: usize) {
         self.vms[vm].frozen_until = self.cell.now;
         let delay = ms(self.cell.rng.u64(1_000..5_000));
-        self.after(delay, WorldInput::Boot(vm, None));
+        self.schedule(delay, WorldInput::Boot(vm, None));
     }
 
     fn replace_machine(&mut self, vm: usize) {
@@ -289,7 +289,7 @@
     fn replace(&mut self, vm: usize) {
         self.replace_machine(vm);
         let delay = ms(self.cell.rng.u64(100..10_000));
-        self.after(delay, WorldInput::Boot(vm, None));
+        self.schedule(delay, WorldInput::Boot(vm, None));
     }
 
     fn observe(&mut self) {
@@ -305,12 +305,12 @@
         if ended && !self.cell.faults_ended() && self.cell.rng.u8(..8) == 0 {
             let job = self.cell.rng.usize(0..self.cell.jobs.len());
             let delay = ms(self.cell.rng.u64(0..300));
-            self.cell.after(delay, Input::Cancel(job));
+            self.cell.schedule(delay, Input::Cancel(job));
         }
     }
 
     fn step_vms(&mut self) {
-        self.after(VM_STEP, WorldInput::Vms);
+        self.schedule(VM_STEP, WorldInput::Vms);
         let faulty = !self.cell.faults_ended();
         for index in 0..VMS {
             if self.vms[index].land_flights(self.cell.now) {
@@ -341,9 +341,9 @@
         if silent {
             self.vms[vm].up_cut_until = self.cell.now + to_successor;
         }
-        self.after(cut, WorldInput::CutOwner(split_brain));
-        self.after(to_successor, WorldInput::ToSuccessor(split_brain));
-        self.after(to_former, WorldInput::ToFormer(split_brain));
+        self.schedule(cut, WorldInput::CutOwner(split_brain));
+        self.schedule(to_successor, WorldInput::ToSuccessor(split_brain));
+        self.schedule(to_former, WorldInput::ToFormer(split_brain));
     }
 
     fn report_to_successor(&mut self, split_brain: SplitBrain) {
@@ -363,7 +363,7 @@
             Cause::VmReplaced => self.replace_machine(vm),
         }
         let delay = ms(self.cell.rng.u64(50..500));
-        self.after(delay, WorldInput::Boot(vm, Some(former)));
+        self.schedule(delay, WorldInput::Boot(vm, Some(former)));
     }
 
     /// The agent of a VM hears of an owner and reports to it at once.
@@ -371,7 +371,7 @@
         if let Some(agent) = &self.vms[vm].agent {
             let (incarnation, sequence) = (agent.incarnation, agent.sequence);
             self.vms[vm].owner = owner;
-            self.after(ms(1), WorldInput::SendReport { vm, incarnation, sequence });
+            self.schedule(ms(1), WorldInput::SendReport { vm, incarnation, sequence });
         }
     }
 
@@ -382,7 +382,7 @@
         let owner = owner.unwrap_or(any);
         let incarnation = self.cell.rng.u64(1..);
         self.vms[vm].boot(incarnation, owner);
-        self.after(ms(1), WorldInput::SendReport { vm, incarnation, sequence: 0 });
+        self.schedule(ms(1), WorldInput::SendReport { vm, incarnation, sequence: 0 });
     }
 
     /// Sends the next report, unless another one is sent before.
@@ -402,7 +402,7 @@
         }
         let again = WorldInput::SendReport { vm, incarnation, sequence };
         if frozen {
-            return self.after(VM_STEP, again);
+            return self.schedule(VM_STEP, again);
         }
         if !state.answered && !keeps {
             state.owner = newest;
@@ -412,7 +412,7 @@
         let owner = state.owner;
         let Some(agent) = &mut state.agent else { return };
         let Some(mut report) = agent.tasks.report(clock, 0) else {
-            return self.after(VM_STEP, again);
+            return self.schedule(VM_STEP, again);
         };
         // The owner's view of a VM may be wrong: the agent has to refuse what does not fit.
         if overstates {
@@ -425,7 +425,7 @@
         if !cut {
             self.cell.deliver(Input::Report { owner, report });
         }
-        self.after(ms(2_000), WorldInput::SendReport { vm, incarnation, sequence });
+        self.schedule(ms(2_000), WorldInput::SendReport { vm, incarnation, sequence });
     }
 
     fn obey(&mut self, answer: Answer) {
@@ -443,7 +443,7 @@
         }
         if !calm && self.cell.now < until {
             let delay = until - self.cell.now;
-            return self.after(delay, WorldInput::Answer(answer));
+            return self.schedule(delay, WorldInput::Answer(answer));
         }
         let Answer { incarnation, orders, .. } = answer;
         let sequence = agent.sequence;
@@ -455,7 +455,7 @@
         if awaited {
             // Often before the worker has kept a new epoch.
             let delay = if calm { 100 } else { self.cell.rng.u64(1..200) };
-            self.after(ms(delay), WorldInput::SendReport { vm, incarnation, sequence });
+            self.schedule(ms(delay), WorldInput::SendReport { vm, incarnation, sequence });
         }
     }
 }
--- a/crates/core/tests/support/cell_world.rs
+++ b/crates/core/tests/support/cell_world.rs
@@ -22,15 +22,25 @@
 /// Scheduled event of the simulation. `I` is the type of the events that the test handles itself.
 #[derive(Clone)]
 pub enum Input<I> {
+    /// Polls an owner.
     Poll(usize),
+    /// A report arrives at an owner.
     Report { owner: usize, report: Report },
+    /// An open report is answered now, even if no orders are waiting.
     AnswerDue { owner: usize, agent: String, incarnation: Incarnation, sequence: u64 },
+    /// A batch arrives at the store.
     Commit { owner: usize, batch: u64, events: Vec<Event>, sent: Time },
+    /// The reply of the store to a batch arrives at the owner.
     Committed { owner: usize, batch: u64, sent: Time, fenced: bool },
+    /// The owner sends a batch again if the store has not replied.
     Retry { owner: usize, batch: u64 },
+    /// A new owner takes over the cell.
     TakeOver,
+    /// A caller submits the job with this index.
     Submit(usize),
+    /// A caller cancels the job with this index.
     Cancel(usize),
+    /// An input that the test handles itself.
     World(I),
 }
 
@@ -150,7 +160,7 @@
             self.now = at;
             let paused_until = input.target().map(|owner| self.owners[owner].paused_until);
             match (paused_until.filter(|until| *until > at), input) {
-                (Some(until), input) => self.after(until - at, input),
+                (Some(until), input) => self.schedule(until - at, input),
                 (None, Input::World(input)) => return Some(input),
                 (None, input) => self.handle(input),
             }
@@ -168,12 +178,12 @@
     pub fn add_job(&mut self, job: JobSpec, submit_at: Time) -> usize {
         self.jobs.push(job);
         let index = self.jobs.len() - 1;
-        self.after(submit_at, Input::Submit(index));
+        self.schedule(submit_at, Input::Submit(index));
         index
     }
 
     /// Schedules an input.
-    pub fn after(&mut self, delay: Duration, input: Input<I>) {
+    pub fn schedule(&mut self, delay: Duration, input: Input<I>) {
         self.last_number += 1;
         self.inputs.insert((self.now + delay, self.last_number), input);
     }
@@ -201,7 +211,7 @@
             let late = !self.faults_ended() && self.rng.u8(0..self.timing.late_one_in) == 0;
             let limit = if late { self.timing.max_late_ms } else { self.timing.max_delay_ms };
             let delay = ms(self.rng.u64(1..limit));
-            self.after(delay, input.clone());
+            self.schedule(delay, input.clone());
         }
     }
 
@@ -216,6 +226,7 @@
             && self.jobs.iter().all(|job| ended(job) == Some(true))
     }
 
+    /// Processes one input.
     fn handle(&mut self, input: Input<I>) {
         match input {
             Input::Poll(owner) => self.poll(owner),
@@ -247,14 +258,14 @@
     /// Starts a new owner, whose clock deviates by up to 1 percent, once the store is reachable.
     pub fn take_over(&mut self) {
         if self.now < self.store.down_until {
-            return self.after(ms(500), Input::TakeOver);
+            return self.schedule(ms(500), Input::TakeOver);
         }
         let clock_rate = 0.99 + 0.02 * self.rng.f64();
         let (local_time, rng) = (self.now.mul_f64(clock_rate), self.rng.fork());
         let settings = self.timing.settings;
         let cell = self.store.journal.take_over(local_time, settings, rng, &mut self.history);
         self.owners.push(Owner::new(cell, clock_rate));
-        self.after(ms(100), Input::Poll(self.newest()));
+        self.schedule(ms(100), Input::Poll(self.newest()));
     }
 
     /// Returns the time by the clock of an owner.
@@ -262,10 +273,12 @@
         self.now.mul_f64(self.owners[owner].clock_rate)
     }
 
+    /// Tells whether an owner can reach the store now.
     fn reaches_store(&self, owner: usize) -> bool {
         self.now >= self.store.down_until.max(self.owners[owner].store_cut_until)
     }
 
+    /// Polls an owner, then commits and carries out what is due.
     fn poll(&mut self, owner: usize) {
         let (local_time, reached) = (self.local_time(owner), self.reaches_store(owner));
         let is_current = owner == self.newest();
@@ -273,12 +286,13 @@
             return;
         }
         if self.owners[owner].poll(local_time, reached, is_current) {
-            self.after(ms(200), Input::Poll(owner));
+            self.schedule(ms(200), Input::Poll(owner));
         }
         self.commit_if_idle(owner);
         self.release_effects(owner);
     }
 
+    /// Sends the next batch unless one is being committed.
     fn commit_if_idle(&mut self, owner: usize) {
         if !self.owners[owner].is_committing {
             self.owners[owner].batch += 1;
@@ -294,11 +308,11 @@
         match self.now < self.store.slow_until {
             true => {
                 let delay = ms(self.rng.u64(500..4_000));
-                self.after(delay, commit);
+                self.schedule(delay, commit);
             }
             false => self.deliver(commit),
         }
-        self.after(ms(2_000), Input::Retry { owner, batch });
+        self.schedule(ms(2_000), Input::Retry { owner, batch });
     }
 
     /// Processes a batch that has reached the journal.
@@ -328,6 +342,7 @@
         }
     }
 
+    /// Answers the open report of an agent if orders wait for it.
     fn answer_if_due(&mut self, owner: usize, agent: &str) {
         if self.owners[owner].has_orders(self.local_time(owner), agent) {
             self.answer(owner, agent);
@@ -340,7 +355,7 @@
             return;
         }
         let owner = self.newest();
-        self.after(ms(3_000), Input::Submit(job));
+        self.schedule(ms(3_000), Input::Submit(job));
         self.last_number += 1;
         let ticket = self.last_number;
         let paused = self.owners[owner].paused_until > self.now;
@@ -383,7 +398,7 @@
         }));
         self.commit_if_idle(owner);
         self.answer_if_due(owner, &agent);
-        self.after(ms(1_000), Input::AnswerDue { owner, agent, incarnation, sequence });
+        self.schedule(ms(1_000), Input::AnswerDue { owner, agent, incarnation, sequence });
     }
 
     /// Sends the answer to the open report of an agent.
--- a/crates/core/tests/support/owners.rs
+++ b/crates/core/tests/support/owners.rs
@@ -75,6 +75,7 @@
         Some(false)
     }
 
+    /// Appends events to the journal and to the history.
     fn append(&mut self, events: Vec<Event>, history: &mut Vec<Fact>) {
         history.extend(events.iter().cloned().map(Fact::Committed));
         self.log.extend(events);
@@ -172,6 +173,7 @@
         Some((incarnation, orders))
     }
 
+    /// Tells whether the agent's open report has to be answered at once.
     pub fn has_orders(&self, now: Time, agent: &str) -> bool {
         self.cell.as_ref().is_some_and(|cell| cell.has_orders(now, agent))
     }
--- a/crates/core/tests/support/world.rs
+++ b/crates/core/tests/support/world.rs
@@ -113,13 +113,13 @@
         }
         for _ in 0..world.cell.rng.u64(2..12) {
             let at = world.cell.rng.u64(1_000..FAULTS_END.as_millis() as u64);
-            world.after(ms(at), WorldInput::Fault);
+            world.schedule(ms(at), WorldInput::Fault);
         }
         world
     }
 
-    fn after(&mut self, delay: Duration, input: WorldInput) {
-        self.cell.after(delay, Input::World(input));
+    fn schedule(&mut self, delay: Duration, input: WorldInput) {
+        self.cell.schedule(delay, Input::World(input));
     }
 
     fn add_vms(&mut self) {
@@ -157,7 +157,7 @@
             cell.add_job(spec, ms(at));
             if cell.rng.u8(0..4) == 0 {
                 let at = cell.rng.u64(at..50_000);
-                cell.after(ms(at), Input::Cancel(index));
+                cell.schedule(ms(at), Input::Cancel(index));
             }
         }
     }
@@ -195,31 +195,31 @@
             Fault::CutVm => {
                 self.vms[vm].is_cut_off = true;
                 let delay = self.cell.rng.u64(1_000..50_000);
-                self.after(ms(delay), WorldInput::Rejoin(vm));
+                self.schedule(ms(delay), WorldInput::Rejoin(vm));
             }
             Fault::KillAgent => {
                 self.vms[vm].agent = None;
                 let delay = self.cell.rng.u64(100..30_000);
-                self.after(ms(delay), WorldInput::Boot(vm));
+                self.schedule(ms(delay), WorldInput::Boot(vm));
             }
             Fault::FreezeAgent => {
                 if let Some(agent) = &mut self.vms[vm].agent {
                     agent.frozen = true;
                     let delay = self.cell.rng.u64(100..40_000);
-                    self.after(ms(delay), WorldInput::Thaw(vm));
+                    self.schedule(ms(delay), WorldInput::Thaw(vm));
                 }
             }
             Fault::ReplaceVm => {
                 self.vms[vm].replace(&mut self.cell.history);
                 let delay = self.cell.rng.u64(100..30_000);
-                self.after(ms(delay), WorldInput::Boot(vm));
+                self.schedule(ms(delay), WorldInput::Boot(vm));
             }
             Fault::KillOwner => {
                 self.cell.owners[owner].cell = None;
-                self.cell.after(ms(6_000), Input::TakeOver);
+                self.cell.schedule(ms(6_000), Input::TakeOver);
             }
             Fault::CutOwner => {
-                self.cell.after(ms(6_000), Input::TakeOver);
+                self.cell.schedule(ms(6_000), Input::TakeOver);
                 let delay = self.cell.rng.u64(1_000..120_000);
                 self.cell.owners[owner].store_cut_until = now + ms(delay);
             }
@@ -227,7 +227,7 @@
                 if let Some(cell) = &mut self.cell.owners[owner].cell {
                     cell.release();
                 }
-                self.cell.after(ms(2_000), Input::TakeOver);
+                self.cell.schedule(ms(2_000), Input::TakeOver);
             }
             Fault::StoreDown => {
                 let delay = self.cell.rng.u64(1_000..50_000);
@@ -238,7 +238,7 @@
                 self.vms[vm].evict(now, false, &mut self.cell.history);
                 if let Some(agent) = &mut self.vms[vm].agent {
                     agent.leaving = true;
-                    self.after(ms(10_000), WorldInput::Stay(vm));
+                    self.schedule(ms(10_000), WorldInput::Stay(vm));
                 }
             }
             Fault::CancelHalf => {
@@ -259,7 +259,7 @@
     fn send_next(&mut self, vm: usize, delay: Duration) {
         if let Some(agent) = &self.vms[vm].agent {
             let (incarnation, sequence) = (agent.incarnation, agent.sequence);
-            self.after(delay, WorldInput::Send { vm, incarnation, sequence });
+            self.schedule(delay, WorldInput::Send { vm, incarnation, sequence });
         }
     }
 
@@ -303,7 +303,7 @@
 
     fn watch(&mut self, vm: usize) {
         if let Some(due) = self.vms[vm].next_due() {
-            self.after(due.saturating_sub(self.cell.now), WorldInput::Vm(vm));
+            self.schedule(due.saturating_sub(self.cell.now), WorldInput::Vm(vm));
         }
     }
 
