--- a/crates/core/src/cell/answer.rs
+++ b/crates/core/src/cell/answer.rs
@@ -1,39 +1,43 @@
-//! Answers to reports: leases, orders and acknowledgements.
+//! Answers to agents' reports: leases, start and stop orders, and acknowledgements of results.
 
 use std::time::Duration;
 
 use crate::cell::owner::Cell;
 use crate::cell::state::Attempt;
-use crate::cell::worker::{Live, Stage, StartSent, Worker};
+use crate::cell::worker::{LiveAttempt, Stage, StartSent, Worker};
 use crate::id::{Incarnation, JobId, TaskIndex};
 use crate::message::report::{AttemptId, Orders, StartOrder, StopOrder};
 use crate::time::{lease_wait, Time};
 
-/// A stop that the agent's reports do not reflect is repeated after this time.
-const REPEAT_AFTER: Duration = Duration::from_secs(1);
-/// A start that a newer report does not list is repeated after this time: the answer was lost.
-const REPEAT_START_AFTER: Duration = Duration::from_millis(200);
-/// Starts in one answer: with commands of 4 KB they stay far below the frame limit of 1 MB.
-const STARTS_AT_ONCE: usize = 64;
-const STOPS_AT_ONCE: usize = 512;
+/// Time after which a stop order is sent again if the agent's reports still list the attempt.
+const STOP_RESEND_INTERVAL: Duration = Duration::from_secs(1);
+/// Time after which a start order is sent again if a newer report does not list the attempt, which
+/// means that the answer with the order was lost.
+const START_RESEND_INTERVAL: Duration = Duration::from_millis(200);
+/// Most start orders in one answer. With commands of 4 KB, the answer stays far below the frame
+/// limit of 1 MB.
+const MAX_STARTS_PER_ANSWER: usize = 64;
+/// Most stop orders in one answer.
+const MAX_STOPS_PER_ANSWER: usize = 512;
 
 impl Cell {
-    /// Tells whether a report of this agent has to be answered at once.
+    /// Tells whether the open report of this agent has to be answered at once, because orders,
+    /// acknowledgements, a challenge or a new epoch are waiting for it.
     pub fn has_orders(&self, now: Time, agent: &str) -> bool {
         let Some(worker) = self.workers.by_agent(agent) else { return false };
-        let granting = self.may_grant(now);
+        let is_granting = self.may_grant(now);
         self.is_stopped()
             || worker.epoch < self.state.epoch
             || worker.candidate.is_some_and(|candidate| !candidate.sent)
             || worker.results.iter().any(|id| self.is_acknowledged(worker, id))
-            || worker.orphans.values().any(|sent| is_due(*sent, now))
+            || worker.orphans.values().any(|sent| is_resend_due(*sent, now))
             || worker.attempts.values().any(|live| {
-                self.is_stop_due(live, now) || (granting && self.is_start_due(worker, live, now))
+                self.is_stop_due(live, now) || (is_granting && self.is_start_due(worker, live, now))
             })
     }
 
-    /// Builds the answer to a report; `None` when this owner is no longer the owner. An answer to
-    /// anything but the agent's newest report carries no orders.
+    /// Builds the answer to a report; `None` if this owner has stopped. Only the answer to the
+    /// agent's newest report carries a lease, orders and acknowledgements.
     pub fn answer(
         &mut self,
         now: Time,
@@ -47,24 +51,26 @@
         let mut orders = Orders { epoch: self.state.epoch, sequence, ..Orders::default() };
         if let Some(worker) = self.workers.by_agent_mut(agent) {
             let candidate = worker.candidate.as_mut();
-            if let Some(candidate) = candidate.filter(|one| one.incarnation == incarnation) {
+            if let Some(candidate) =
+                candidate.filter(|candidate| candidate.incarnation == incarnation)
+            {
                 candidate.sent = true;
                 orders.challenge = candidate.challenge;
                 return Some(orders);
             }
         }
-        let newest = self.workers.by_agent(agent).is_some_and(|worker| {
+        let is_newest = self.workers.by_agent(agent).is_some_and(|worker| {
             worker.incarnation == Some(incarnation) && worker.sequence == Some(sequence)
         });
-        if !newest {
+        if !is_newest {
             return Some(orders);
         }
         if self.may_grant(now) {
             orders.lease = self.settings.lease;
             orders.starts = self.take_starts(now, agent, sequence);
-            let expires = now + lease_wait(self.settings.lease);
+            let lease_expiry = now + lease_wait(self.settings.lease);
             let worker = self.workers.by_agent_mut(agent)?;
-            worker.expires = worker.expires.max(expires);
+            worker.lease_expiry = worker.lease_expiry.max(lease_expiry);
         }
         orders.stops = self.take_stops(now, agent);
         let worker = self.workers.by_agent(agent)?;
@@ -73,16 +79,17 @@
         let committed = self.committed;
         let worker = self.workers.by_agent_mut(agent)?;
         worker.results.retain(|id| !orders.acknowledged.contains(id));
-        worker.ending.retain(|_, sequence| *sequence > committed);
+        worker.uncommitted_ends.retain(|_, sequence| *sequence > committed);
         Some(orders)
     }
 
+    /// Returns the start orders that are due, and records them as sent.
     fn take_starts(&mut self, now: Time, agent: &str, sequence: u64) -> Vec<StartOrder> {
         let Some(worker) = self.workers.by_agent(agent) else { return Vec::new() };
         let due = worker.attempts.iter().filter(|(_, live)| self.is_start_due(worker, live, now));
         let orders: Vec<StartOrder> = due
             .filter_map(|((job, task), _)| self.start_order(job, *task))
-            .take(STARTS_AT_ONCE)
+            .take(MAX_STARTS_PER_ANSWER)
             .collect();
         if let Some(worker) = self.workers.by_agent_mut(agent) {
             for order in &orders {
@@ -95,6 +102,7 @@
         orders
     }
 
+    /// Builds the start order for the current attempt of a task.
     fn start_order(&self, job: &JobId, task: TaskIndex) -> Option<StartOrder> {
         let record = self.state.jobs.get(job)?;
         let Attempt { token, resume, .. } = record.attempts.get(&task)?;
@@ -109,6 +117,7 @@
         })
     }
 
+    /// Returns the stop orders that are due, and records them as sent.
     fn take_stops(&mut self, now: Time, agent: &str) -> Vec<StopOrder> {
         let Some(worker) = self.workers.by_agent(agent) else { return Vec::new() };
         let due = worker.attempts.iter().filter(|(_, live)| self.is_stop_due(live, now));
@@ -119,44 +128,50 @@
                 token: live.token,
             })
             .collect();
-        let orphans = worker.orphans.iter().filter(|(_, sent)| is_due(**sent, now));
+        let orphans = worker.orphans.iter().filter(|(_, sent)| is_resend_due(**sent, now));
         stops.extend(orphans.map(|(id, _)| id.clone()));
-        stops.truncate(STOPS_AT_ONCE);
+        stops.truncate(MAX_STOPS_PER_ANSWER);
         if let Some(worker) = self.workers.by_agent_mut(agent) {
             for id in &stops {
-                note_stop_sent(worker, id, now);
+                record_stop_sent(worker, id, now);
             }
         }
         stops.into_iter().map(|attempt| StopOrder { attempt, checkpoint: false }).collect()
     }
 
-    fn is_start_due(&self, worker: &Worker, live: &Live, now: Time) -> bool {
-        let sent_before = match live.start_sent {
+    /// Tells whether to send the start order of an attempt in an answer to the newest report.
+    fn is_start_due(&self, worker: &Worker, live: &LiveAttempt, now: Time) -> bool {
+        let is_send_due = match live.start_sent {
             None => true,
             Some(sent) => {
-                worker.sequence > Some(sent.sequence) && now >= sent.at + REPEAT_START_AFTER
+                worker.sequence > Some(sent.sequence) && now >= sent.at + START_RESEND_INTERVAL
             }
         };
-        // An order stays with its incarnation. Without this, an owner that has been replaced could
-        // order what it had committed before from a new VM, whose agent knows of no successor.
-        live.meant_for == worker.incarnation
+        // A start order goes only to the incarnation for which it was placed. Otherwise a replaced
+        // owner could send an order that it had committed earlier to a new VM, whose agent has not
+        // heard of the next owner yet.
+        live.target == worker.incarnation
             && live.stage == Stage::Ordered
-            && live.stop_after.is_none()
-            && live.start_after <= self.committed
-            && sent_before
+            && live.stop_event.is_none()
+            && live.start_event <= self.committed
+            && is_send_due
     }
 
-    fn is_stop_due(&self, live: &Live, now: Time) -> bool {
-        live.stop_after.is_some_and(|after| after <= self.committed) && is_due(live.stop_sent, now)
+    /// Tells whether to send a stop order for an attempt.
+    fn is_stop_due(&self, live: &LiveAttempt, now: Time) -> bool {
+        live.stop_event.is_some_and(|after| after <= self.committed)
+            && is_resend_due(live.stop_sent, now)
     }
 
-    /// Tells whether a reported result needs no repetition.
+    /// Tells whether the event for a reported result is committed, so that the agent may drop the
+    /// result.
     fn is_acknowledged(&self, worker: &Worker, id: &AttemptId) -> bool {
-        worker.ending.get(id).is_none_or(|sequence| *sequence <= self.committed)
+        worker.uncommitted_ends.get(id).is_none_or(|sequence| *sequence <= self.committed)
     }
 }
 
-fn note_stop_sent(worker: &mut Worker, id: &AttemptId, now: Time) {
+/// Records the time of a stop order for an attempt or an orphan.
+fn record_stop_sent(worker: &mut Worker, id: &AttemptId, now: Time) {
     if let Some(sent) = worker.orphans.get_mut(id) {
         *sent = Some(now);
     } else if let Some(live) = worker.attempts.get_mut(&(id.job.clone(), id.task)) {
@@ -164,6 +179,7 @@
     }
 }
 
-fn is_due(sent: Option<Time>, now: Time) -> bool {
-    sent.is_none_or(|sent| now >= sent + REPEAT_AFTER)
+/// Tells whether an order last sent at `sent` has to be sent now; a new order always has.
+fn is_resend_due(sent: Option<Time>, now: Time) -> bool {
+    sent.is_none_or(|sent| now >= sent + STOP_RESEND_INTERVAL)
 }
--- a/crates/core/src/cell/queue.rs
+++ b/crates/core/src/cell/queue.rs
@@ -1,62 +1,70 @@
-//! Jobs that wait for starts, in the order in which they are served.
+//! Queue of jobs with tasks that wait for a start.
 
 use std::collections::BTreeMap;
 
 use crate::cell::state::Job;
 use crate::id::JobId;
 
-/// Order of service. New urgent work goes before the recovery of lost work; within the other
-/// classes, tasks that were started before go first.
+/// Priority lane of the queue, served from first to last. Among urgent jobs, tasks that were never
+/// started come first, so that new urgent work does not wait for the recovery of lost work. Among
+/// other jobs, tasks that were started before come first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Lane {
-    UrgentFresh,
+    UrgentUnstarted,
     UrgentRequeued,
     Requeued,
-    Fresh,
+    Unstarted,
 }
 
 impl Lane {
+    /// All lanes, highest priority first.
     pub const ALL: [Lane; 4] =
-        [Lane::UrgentFresh, Lane::UrgentRequeued, Lane::Requeued, Lane::Fresh];
+        [Lane::UrgentUnstarted, Lane::UrgentRequeued, Lane::Requeued, Lane::Unstarted];
 
+    /// Tells whether the lane holds tasks that were started before.
     pub fn is_requeued(self) -> bool {
         matches!(self, Lane::UrgentRequeued | Lane::Requeued)
     }
 
+    /// Returns the lane for tasks of an urgent or other job, requeued or never started.
     fn new(urgent: bool, requeued: bool) -> Lane {
         match (urgent, requeued) {
-            (true, false) => Lane::UrgentFresh,
+            (true, false) => Lane::UrgentUnstarted,
             (true, true) => Lane::UrgentRequeued,
             (false, true) => Lane::Requeued,
-            (false, false) => Lane::Fresh,
+            (false, false) => Lane::Unstarted,
         }
     }
 }
 
-/// Jobs examined at the head of a lane in one pass, and after a cursor that moves on from pass to
-/// pass. A long row of jobs that cannot start now delays a pass by a bounded time only, and hides
-/// no job for good.
-const HEAD: usize = 128;
-const BEHIND: usize = 384;
+/// Jobs that a pass examines at the head of a lane. The bound limits the time that jobs which
+/// cannot start now take from a pass.
+const MAX_HEAD_JOBS: usize = 128;
+/// Jobs that a pass examines after a cursor, which advances from pass to pass. So every job of the
+/// lane is examined eventually.
+const MAX_CURSOR_JOBS: usize = 384;
 
+/// Waiting jobs by priority lane.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Queue {
+    /// Jobs of each lane, by order of submission.
     lanes: [BTreeMap<u64, JobId>; 4],
+    /// Order of submission of the last job examined after the head of each lane.
     cursors: [u64; 4],
 }
 
 impl Queue {
-    /// Puts a job into the lanes that fit its waiting tasks, and takes it from the others.
+    /// Adds a job to the lanes for which it has waiting tasks, and removes it from the others.
     pub fn sync(&mut self, job: &Job) {
-        for (requeued, waits) in [(false, job.has_fresh()), (true, job.has_requeued())] {
+        for (requeued, waits) in [(false, job.has_unstarted()), (true, job.has_requeued())] {
             let lane = &mut self.lanes[Lane::new(job.urgent, requeued) as usize];
             match waits {
-                true if !lane.contains_key(&job.order) => {
-                    lane.insert(job.order, job.spec.id.clone());
+                true if !lane.contains_key(&job.submit_order) => {
+                    lane.insert(job.submit_order, job.spec.id.clone());
                 }
                 true => {}
                 false => {
-                    lane.remove(&job.order);
+                    lane.remove(&job.submit_order);
                 }
             }
         }
@@ -66,19 +74,22 @@
         self.lanes.iter().all(BTreeMap::is_empty)
     }
 
-    /// Returns the jobs of a lane to examine in this pass.
+    /// Returns the jobs of a lane to examine in this pass, and advances the lane's cursor.
     pub fn candidates(&mut self, lane: Lane) -> Vec<JobId> {
         let jobs = &self.lanes[lane as usize];
-        let mut chosen: Vec<(u64, JobId)> =
-            jobs.iter().take(HEAD).map(|(order, id)| (*order, id.clone())).collect();
-        if jobs.len() <= HEAD {
+        let mut chosen: Vec<(u64, JobId)> = jobs
+            .iter()
+            .take(MAX_HEAD_JOBS)
+            .map(|(submit_order, id)| (*submit_order, id.clone()))
+            .collect();
+        if jobs.len() <= MAX_HEAD_JOBS {
             return chosen.into_iter().map(|(_, id)| id).collect();
         }
-        let head = chosen.last().map_or(0, |(order, _)| *order);
+        let head = chosen.last().map_or(0, |(submit_order, _)| *submit_order);
         let cursor = self.cursors[lane as usize].max(head);
-        let behind = jobs.range(cursor + 1..).take(BEHIND);
-        chosen.extend(behind.map(|(order, id)| (*order, id.clone())));
-        let last = chosen.last().map_or(0, |(order, _)| *order);
+        let after_cursor = jobs.range(cursor + 1..).take(MAX_CURSOR_JOBS);
+        chosen.extend(after_cursor.map(|(submit_order, id)| (*submit_order, id.clone())));
+        let last = chosen.last().map_or(0, |(submit_order, _)| *submit_order);
         let at_end = jobs.range(last + 1..).next().is_none();
         self.cursors[lane as usize] = if at_end { 0 } else { last };
         chosen.into_iter().map(|(_, id)| id).collect()
--- a/crates/core/src/cell/worker.rs
+++ b/crates/core/src/cell/worker.rs
@@ -1,4 +1,4 @@
-//! Workers of a cell as its owner sees them. Volatile: rebuilt from reports after a takeover.
+//! Volatile records of a cell's workers, rebuilt from agents' reports after a takeover.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,125 +10,146 @@
 use crate::resources::Resources;
 use crate::time::Time;
 
-/// An eighth of a worker's capacity is kept free for urgent work: other work that grows or is
-/// throttled keeps its reservations for minutes.
-const URGENT_SHARE: u64 = 8;
+/// Divisor of the share of a worker's capacity that is kept free for urgent work: one eighth. Other
+/// tasks that grow or are throttled hold their reservations for minutes, too long for urgent work.
+const URGENT_SHARE_DIVISOR: u64 = 8;
 
-/// How far an attempt has come.
+/// Progress of an attempt, as known to this owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// Ordered in this ownership and not reported yet.
+    /// Placed by this owner, and not listed in a report yet.
     Ordered,
-    /// Started by an earlier owner and not reported to this one yet.
+    /// Placed by an earlier owner, and not listed in a report to this owner yet.
     Inherited,
+    /// Listed in a report.
     Running,
 }
 
-/// The last answer that carried a start order.
+/// Last answer that carried the start order of an attempt.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct StartSent {
-    /// Sequence of the report that was answered.
+    /// Sequence number of the answered report.
     pub sequence: u64,
+    /// Time at which the answer was built.
     pub at: Time,
 }
 
-/// An attempt that may be alive on a worker.
+/// Attempt that may be running on a worker.
 #[derive(Debug, Clone)]
-pub(super) struct Live {
+pub(super) struct LiveAttempt {
     pub token: Token,
     pub need: Resources,
-    /// Usage in the last report; zero while none is known.
+    /// Usage in the last report; zero if unknown.
     pub measured: Resources,
-    /// Largest usage of the job's tasks at full speed that was known at the last report.
-    pub expected: Resources,
-    /// Number of the class within the cell.
+    /// Largest full-speed usage of the job's tasks known at the last report.
+    pub expected_usage: Resources,
+    /// Class number of the job.
     pub class: usize,
     pub stage: Stage,
-    /// Incarnation that the order is meant for; `None` if an earlier owner ordered it.
-    pub meant_for: Option<Incarnation>,
-    /// Sequence of the event that allows the start.
-    pub start_after: u64,
+    /// Incarnation of the agent to which the start order may be sent; `None` if an earlier owner
+    /// placed the attempt.
+    pub target: Option<Incarnation>,
+    /// Sequence number of the event whose commit allows the start order.
+    pub start_event: u64,
+    /// Last answer with the start order; `None` if the order was not sent yet.
     pub start_sent: Option<StartSent>,
-    /// Sequence of the event that allows the stop, when one is wanted.
-    pub stop_after: Option<u64>,
+    /// Sequence number of the event whose commit allows a stop order; `None` if the attempt is not
+    /// to be stopped.
+    pub stop_event: Option<u64>,
+    /// Time of the last stop order.
     pub stop_sent: Option<Time>,
-    /// Whether the last report listed it, so that the reported free capacity accounts for it.
-    pub seen: bool,
+    /// Whether the last report listed the attempt, so that the reported free capacity already
+    /// excludes its reservation.
+    pub reported: bool,
 }
 
-impl Live {
-    /// What the agent's ledger reserves for the attempt.
-    pub fn amount(&self) -> Resources {
+impl LiveAttempt {
+    /// Returns the resources that the agent's ledger reserves for the attempt.
+    pub fn reserved_amount(&self) -> Resources {
         self.need.max(&self.measured)
     }
 }
 
-/// An incarnation that may be newer than the current one. Incarnations are random, so a report of
-/// an unknown one may also be a delayed report of a predecessor. Only a live process can return the
-/// challenge.
+/// Unverified incarnation that may succeed the current one. Incarnations are random numbers, so a
+/// report from an unknown one may also be a delayed report from a predecessor. Only a live process
+/// can echo the challenge.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Candidate {
     pub incarnation: Incarnation,
+    /// Random number that the agent has to echo in its next report.
     pub challenge: u64,
-    /// Whether the challenge was sent since the last report.
+    /// Whether an answer has carried the challenge since the last report.
     pub sent: bool,
 }
 
-/// A worker.
+/// Worker with its last reported status, its attempts and its failure history.
 #[derive(Debug, Clone)]
 pub(super) struct Worker {
     pub agent: AgentId,
+    /// Current incarnation of the agent; `None` before the first report.
     pub incarnation: Option<Incarnation>,
+    /// Incarnation that has reported but not echoed its challenge yet.
     pub candidate: Option<Candidate>,
+    /// Sequence number of the newest report of `incarnation`.
     pub sequence: Option<u64>,
     /// Epoch that the agent had accepted at its last report.
     pub epoch: Epoch,
+    /// Whether the agent finishes its tasks and takes no new ones.
     pub leaving: bool,
     pub rack: String,
     /// Number of the rack within the cell.
     pub rack_number: usize,
+    /// Reported capacity for batch work.
     pub capacity: Resources,
-    /// Largest capacity reported; a closing lowers the current one for a while.
-    pub largest: Resources,
+    /// Largest capacity reported so far; a closing lowers the current one temporarily.
+    pub max_capacity: Resources,
+    /// Reported free capacity for tasks that are not urgent.
     pub free: Resources,
+    /// Reported free capacity for urgent tasks.
     pub urgent_free: Resources,
-    /// Reported free capacity minus what was ordered and is not part of it yet.
+    /// Reported free capacity minus the needs of placed attempts that the report does not list.
     pub available: Resources,
-    /// The same for urgent work.
+    /// Like `available`, for urgent tasks.
     pub urgent_available: Resources,
-    /// What the attempts of each class hold, by number of the class.
-    pub class_used: Vec<Resources>,
-    /// The same with the growth that is expected.
-    pub class_planned: Vec<Resources>,
-    /// Growth that is expected of all attempts.
-    pub growth: Resources,
+    /// Reservations of the attempts of each class, by class number.
+    pub class_reserved: Vec<Resources>,
+    /// Like `class_reserved`, with the expected growth of usage.
+    pub class_expected: Vec<Resources>,
+    /// Expected growth of all attempts beyond their reservations.
+    pub expected_growth: Resources,
+    /// Reported interference: slow-down of the VM's services by batch work, in percent.
     pub pressure: u32,
+    /// Time of the last accepted report to this owner.
     pub last_report: Option<Time>,
-    /// Time at which each lease that any owner may have granted has certainly run out.
-    pub expires: Time,
-    /// Whether an earlier owner may still renew leases of this worker.
-    pub inherited: bool,
-    /// Jobs that failed since the last success.
+    /// Time by which every lease that any owner may have granted has expired.
+    pub lease_expiry: Time,
+    /// Whether the agent has not accepted this owner's epoch yet, so that an earlier owner may
+    /// still renew its leases.
+    pub unfenced: bool,
+    /// Jobs that failed on the worker since its last success.
     pub failed_jobs: BTreeSet<JobId>,
-    /// The last two different jobs that succeeded.
-    pub succeeded: Vec<JobId>,
+    /// Last two different jobs that succeeded on the worker, newest first.
+    pub succeeded_jobs: Vec<JobId>,
     pub quarantined_until: Time,
+    /// Number of quarantines since the last success.
     pub quarantines: u32,
-    /// No placement before this time, after a refusal.
-    pub avoid_until: Time,
-    pub attempts: BTreeMap<(JobId, TaskIndex), Live>,
-    /// Results of the last report.
+    /// Time until which no task is placed on the worker, set after a refusal.
+    pub backoff_until: Time,
+    /// Attempts that may be running on the worker.
+    pub attempts: BTreeMap<(JobId, TaskIndex), LiveAttempt>,
+    /// Attempts with a result in the last report that is not acknowledged yet.
     pub results: Vec<AttemptId>,
-    /// Ended attempts whose event is not committed yet, with its sequence.
-    pub ending: BTreeMap<AttemptId, u64>,
+    /// Ended attempts whose event is not committed yet, with its sequence number.
+    pub uncommitted_ends: BTreeMap<AttemptId, u64>,
     /// Reported attempts that are not current, with the time of the last stop order.
     pub orphans: BTreeMap<AttemptId, Option<Time>>,
-    /// Key in the placement index, when it is there.
-    pub indexed: Option<u64>,
+    /// CPU under which the worker is listed in the placement index; `None` if not listed.
+    pub index_key: Option<u64>,
 }
 
 impl Worker {
-    pub fn new(agent: AgentId, expires: Time) -> Self {
+    /// Creates the record of a worker that has not reported yet.
+    pub fn new(agent: AgentId, lease_expiry: Time) -> Self {
         Worker {
             agent,
             incarnation: None,
@@ -139,54 +160,55 @@
             rack: String::new(),
             rack_number: usize::MAX,
             capacity: Resources::default(),
-            largest: Resources::default(),
+            max_capacity: Resources::default(),
             free: Resources::default(),
             urgent_free: Resources::default(),
             available: Resources::default(),
             urgent_available: Resources::default(),
-            class_used: Vec::new(),
-            class_planned: Vec::new(),
-            growth: Resources::default(),
+            class_reserved: Vec::new(),
+            class_expected: Vec::new(),
+            expected_growth: Resources::default(),
             pressure: 0,
             last_report: None,
-            expires,
-            inherited: true,
+            lease_expiry,
+            unfenced: true,
             failed_jobs: BTreeSet::new(),
-            succeeded: Vec::new(),
+            succeeded_jobs: Vec::new(),
             quarantined_until: Time::ZERO,
             quarantines: 0,
-            avoid_until: Time::ZERO,
+            backoff_until: Time::ZERO,
             attempts: BTreeMap::new(),
             results: Vec::new(),
-            ending: BTreeMap::new(),
+            uncommitted_ends: BTreeMap::new(),
             orphans: BTreeMap::new(),
-            indexed: None,
+            index_key: None,
         }
     }
 
-    /// Tells whether a report comes from another incarnation that has not proved that it lives.
+    /// Tells whether a report comes from another incarnation that has not echoed its challenge.
     pub fn is_unverified(&self, incarnation: Incarnation, echo: u64) -> bool {
-        let proved = |candidate: Candidate| {
+        let has_echoed = |candidate: Candidate| {
             candidate.incarnation == incarnation && candidate.challenge == echo
         };
         self.incarnation.is_some_and(|current| current != incarnation)
-            && !self.candidate.is_some_and(proved)
+            && !self.candidate.is_some_and(has_echoed)
     }
 
-    /// Notes that another incarnation reports. `challenge` is not zero.
+    /// Records a report from an unverified incarnation. A new candidate gets `challenge`, which
+    /// must not be zero.
     pub fn challenge(&mut self, incarnation: Incarnation, challenge: u64) {
         let known = self.candidate.filter(|candidate| candidate.incarnation == incarnation);
         let challenge = known.map_or(challenge, |known| known.challenge);
         self.candidate = Some(Candidate { incarnation, challenge, sent: false });
     }
 
-    /// Tells whether a report was overtaken by a newer one of its incarnation.
-    pub fn is_overtaken(&self, incarnation: Incarnation, sequence: u64) -> bool {
+    /// Tells whether the worker has processed this report or a newer one of the same incarnation.
+    pub fn is_stale(&self, incarnation: Incarnation, sequence: u64) -> bool {
         self.incarnation == Some(incarnation) && self.sequence >= Some(sequence)
     }
 
-    /// Notes which incarnation reports.
-    pub fn adopt(&mut self, incarnation: Incarnation, sequence: u64) {
+    /// Records the incarnation and the sequence number of an accepted report.
+    pub fn set_incarnation(&mut self, incarnation: Incarnation, sequence: u64) {
         if self.incarnation != Some(incarnation) {
             self.incarnation = Some(incarnation);
             self.candidate = None;
@@ -195,84 +217,91 @@
         self.sequence = Some(sequence);
     }
 
+    /// Tells whether the worker gets no tasks because it was found faulty.
     pub fn is_quarantined(&self, now: Time) -> bool {
         now < self.quarantined_until
     }
 
-    /// Tells whether jobs other than `job` succeeded here and none failed since.
+    /// Tells whether jobs other than `job` succeeded on the worker and none of them failed since.
     pub fn is_proven_for(&self, job: &JobId) -> bool {
         self.failed_jobs.iter().all(|failed| failed == job)
-            && self.succeeded.iter().any(|succeeded| succeeded != job)
+            && self.succeeded_jobs.iter().any(|other| other != job)
     }
 
-    pub fn note_success(&mut self, job: &JobId) {
+    /// Clears the failure history and remembers the job as succeeded.
+    pub fn record_success(&mut self, job: &JobId) {
         self.failed_jobs.clear();
         self.quarantines = 0;
-        if !self.succeeded.contains(job) {
-            self.succeeded.insert(0, job.clone());
-            self.succeeded.truncate(2);
+        if !self.succeeded_jobs.contains(job) {
+            self.succeeded_jobs.insert(0, job.clone());
+            self.succeeded_jobs.truncate(2);
         }
     }
 
-    /// Recomputes what can be ordered from this worker.
+    /// Recomputes the available resources and the class totals from the report and the attempts.
     pub fn update_available(&mut self) {
-        let unseen = self.attempts.values().filter(|live| !live.seen);
-        let ordered = unseen.fold(Resources::default(), |sum, live| sum.plus(&live.need));
+        let unreported = self.attempts.values().filter(|live| !live.reported);
+        let ordered = unreported.fold(Resources::default(), |sum, live| sum.plus(&live.need));
         self.available = self.free.minus(&ordered);
         self.urgent_available = self.urgent_free.minus(&ordered);
-        self.class_used.clear();
-        self.class_planned.clear();
-        self.growth = Resources::default();
+        self.class_reserved.clear();
+        self.class_expected.clear();
+        self.expected_growth = Resources::default();
         for live in self.attempts.values() {
-            if self.class_used.len() <= live.class {
-                self.class_used.resize(live.class + 1, Resources::default());
-                self.class_planned.resize(live.class + 1, Resources::default());
+            if self.class_reserved.len() <= live.class {
+                self.class_reserved.resize(live.class + 1, Resources::default());
+                self.class_expected.resize(live.class + 1, Resources::default());
             }
-            let amount = live.amount();
-            let growth = live.expected.minus(&amount);
-            self.growth = self.growth.plus(&growth);
+            let reserved_amount = live.reserved_amount();
+            let expected_growth = live.expected_usage.minus(&reserved_amount);
+            self.expected_growth = self.expected_growth.plus(&expected_growth);
             let (used, planned) =
-                (&mut self.class_used[live.class], &mut self.class_planned[live.class]);
-            *used = used.plus(&amount);
-            *planned = planned.plus(&amount).plus(&growth);
+                (&mut self.class_reserved[live.class], &mut self.class_expected[live.class]);
+            *used = used.plus(&reserved_amount);
+            *planned = planned.plus(&reserved_amount).plus(&expected_growth);
         }
     }
 
-    /// Returns what a start may take. With `keeps_share`, work that is not urgent leaves the share
-    /// for urgent work free, except on an idle worker: a task may need all of it.
-    pub fn room(&self, urgent: bool, keeps_share: bool) -> Resources {
+    /// Returns the resources that a new task may take. With `keep_share`, tasks that are not urgent
+    /// leave the share for urgent work free, except on an idle worker, because a task may need the
+    /// whole worker.
+    pub fn available_for(&self, urgent: bool, keep_share: bool) -> Resources {
         match () {
             () if urgent => return self.urgent_available,
             () if self.attempts.is_empty() => return self.available,
-            () if !keeps_share => return self.available.minus(&self.growth),
+            () if !keep_share => return self.available.minus(&self.expected_growth),
             () => {}
         }
         let Resources { cpu_milli, memory_mib, .. } = self.capacity;
-        let kept = Resources::new(cpu_milli / URGENT_SHARE, memory_mib / URGENT_SHARE, 0);
-        self.available.minus(&self.growth).minus(&kept)
+        let kept =
+            Resources::new(cpu_milli / URGENT_SHARE_DIVISOR, memory_mib / URGENT_SHARE_DIVISOR, 0);
+        self.available.minus(&self.expected_growth).minus(&kept)
     }
 
-    /// Tells whether the class limits, by number of the class, leave room for `need`. The ledger
-    /// admits nothing while any class holds more than its limit; a class that was removed has none.
-    pub fn has_class_room(
+    /// Tells whether the class limits admit a task of `class` with `need`. `limits` is indexed by
+    /// class number. The agent's ledger admits no task while any class exceeds its limit, so all
+    /// classes are checked; a removed class has no limit.
+    pub fn fits_class_limits(
         &self,
         limits: &[Option<Resources>],
         class: usize,
         need: &Resources,
     ) -> bool {
-        let planned = self.class_planned.get(class).copied().unwrap_or_default();
+        let planned = self.class_expected.get(class).copied().unwrap_or_default();
         let is_within =
             |used: &Resources, limit: &Option<Resources>| limit.is_none_or(|l| used.fits_in(&l));
         limits.get(class).is_some_and(|limit| limit.is_some_and(|l| planned.plus(need).fits_in(&l)))
-            && self.class_used.iter().zip(limits).all(|(used, limit)| is_within(used, limit))
+            && self.class_reserved.iter().zip(limits).all(|(used, limit)| is_within(used, limit))
     }
 
-    /// Tells whether nothing is known of this worker that is not durable.
-    pub fn is_settled(&self, committed: u64) -> bool {
-        self.attempts.is_empty() && self.ending.values().all(|sequence| *sequence <= committed)
+    /// Tells whether the record can be dropped: no attempt is left and all ends are committed.
+    pub fn is_removable(&self, committed: u64) -> bool {
+        self.attempts.is_empty()
+            && self.uncommitted_ends.values().all(|sequence| *sequence <= committed)
     }
 
-    /// Current state in one word.
+    /// Returns the name of the worker's state. `silent` is the time without a report after which
+    /// the worker counts as silent.
     fn status(&self, now: Time, silent: Time) -> &'static str {
         match self.last_report {
             None => "unknown",
@@ -283,6 +312,7 @@
         }
     }
 
+    /// Returns the status of the worker, for operators.
     pub fn view(&self, now: Time, silent: Time) -> WorkerView {
         WorkerView {
             agent: self.agent.clone(),
@@ -295,38 +325,47 @@
         }
     }
 
+    /// Sets whether the worker is leaving.
     pub fn set_state(&mut self, state: AgentState) {
         self.leaving = state == AgentState::Leaving;
     }
 }
 
-/// A worker, for operators.
+/// Status of a worker, as shown to operators.
 #[derive(Debug, Clone, Serialize)]
 pub struct WorkerView {
     pub agent: AgentId,
     pub rack: String,
+    /// Name of the state, such as `ready` or `silent`.
     pub state: &'static str,
     pub capacity: Resources,
+    /// Reported free capacity for tasks that are not urgent.
     pub free: Resources,
+    /// Number of attempts that may be running.
     pub attempts: usize,
+    /// Slow-down of the VM's services by batch work, in percent.
     pub pressure_percent: u32,
 }
 
-/// All workers of a cell, by slot number.
+/// Workers of a cell, by slot number. A slot number stays the same while its worker is known, and
+/// is then reused.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Workers {
     slots: Vec<Option<Worker>>,
+    /// Slot numbers free for reuse.
     vacant: Vec<usize>,
-    ids: BTreeMap<AgentId, usize>,
-    racks: BTreeMap<String, usize>,
+    slots_by_agent: BTreeMap<AgentId, usize>,
+    /// Number of each rack, by rack name.
+    rack_numbers: BTreeMap<String, usize>,
 }
 
 impl Workers {
+    /// Returns the slot number of an agent.
     pub fn find(&self, agent: &str) -> Option<usize> {
-        self.ids.get(agent).copied()
+        self.slots_by_agent.get(agent).copied()
     }
 
-    /// Number of slots, including vacant ones.
+    /// Returns the number of slots, including vacant ones.
     pub fn slots(&self) -> usize {
         self.slots.len()
     }
@@ -347,8 +386,8 @@
         self.find(agent).and_then(|slot| self.get_mut(slot))
     }
 
-    /// Returns the slot of `agent`, and adds it if it is new.
-    pub fn insert(&mut self, agent: &AgentId, expires: Time) -> usize {
+    /// Returns the slot number of `agent`, and adds a worker if the agent is unknown.
+    pub fn insert(&mut self, agent: &AgentId, lease_expiry: Time) -> usize {
         if let Some(slot) = self.find(agent) {
             return slot;
         }
@@ -356,18 +395,18 @@
             self.slots.push(None);
             self.slots.len() - 1
         });
-        self.slots[slot] = Some(Worker::new(agent.clone(), expires));
-        self.ids.insert(agent.clone(), slot);
+        self.slots[slot] = Some(Worker::new(agent.clone(), lease_expiry));
+        self.slots_by_agent.insert(agent.clone(), slot);
         slot
     }
 
-    /// Notes the rack of a worker.
+    /// Sets the rack of a worker, and numbers a new rack.
     pub fn set_rack(&mut self, slot: usize, rack: &str) {
-        let number = match self.racks.get(rack) {
+        let number = match self.rack_numbers.get(rack) {
             Some(number) => *number,
             None => {
-                self.racks.insert(rack.to_owned(), self.racks.len());
-                self.racks.len() - 1
+                self.rack_numbers.insert(rack.to_owned(), self.rack_numbers.len());
+                self.rack_numbers.len() - 1
             }
         };
         if let Some(worker) = self.get_mut(slot).filter(|worker| worker.rack != rack) {
@@ -376,13 +415,15 @@
         }
     }
 
+    /// Removes a worker and frees its slot.
     pub fn remove(&mut self, slot: usize) {
         if let Some(worker) = self.slots.get_mut(slot).and_then(Option::take) {
-            self.ids.remove(&worker.agent);
+            self.slots_by_agent.remove(&worker.agent);
             self.vacant.push(slot);
         }
     }
 
+    /// Returns all workers with their slot numbers.
     pub fn iter(&self) -> impl Iterator<Item = (usize, &Worker)> {
         self.slots.iter().enumerate().filter_map(|(slot, worker)| Some((slot, worker.as_ref()?)))
     }
--- a/crates/core/src/ledger.rs
+++ b/crates/core/src/ledger.rs
@@ -1,8 +1,13 @@
-//! Capacity of one VM.
+//! Capacity ledger of one VM: admission control and limit enforcement for its batch tasks.
 //!
-//! The ledger is the only authority on what a VM holds. It reserves the limit of the VM's service
-//! first, and for each batch task the larger of its declared need and its measured usage. A task
-//! holds its reservation until the worker has confirmed that it is gone.
+//! Every batch task on the VM has a reservation in the ledger. The ledger first sets aside the
+//! limit of the VM's service, then reserves for each batch task the larger of its declared need
+//! and its measured usage. A reservation is freed only after the worker has confirmed that the
+//! task no longer runs.
+//!
+//! A closing is a configured period, such as a year-end closing, in which services need more of
+//! the VM and batch work gets less. Before a closing starts, it is prepared: new batch tasks are
+//! already refused above its limit.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -11,51 +16,53 @@
 use crate::resources::Resources;
 use crate::time::Time;
 
-/// Speed of a task whose usage outgrew the VM, in percent.
-const GROWTH_SPEED: u8 = 50;
+/// Speed at which a throttled task runs, in percent of full speed.
+const THROTTLED_SPEED_PERCENT: u8 = 50;
 
-/// Limits from the configuration in effect.
+/// Limits that the configuration in effect sets for one VM.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Limits {
-    /// Reserved for the VM's service.
+    /// Resources set aside for the VM's service.
     pub service: Resources,
-    /// Most that each class may take from the VM.
+    /// Upper limit of the reservations of each job class, by class name.
     pub classes: BTreeMap<String, Resources>,
+    /// Limit of the closing in progress or in preparation, if any.
     pub closing: Option<ClosingLimit>,
 }
 
-/// Limit of a closing that has begun or is being prepared.
+/// Limit on batch work during a closing or its preparation.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClosingLimit {
+    /// Upper limit of the reservations of all batch tasks.
     pub batch: Resources,
-    /// Classes that may start; all if empty.
+    /// Classes whose tasks may start; all classes if empty.
     pub classes: Vec<String>,
-    /// Also frees what running tasks hold above the limit.
+    /// Whether running tasks above the limit are throttled and evicted. Until then only new tasks
+    /// are refused.
     pub enforced: bool,
 }
 
-/// Why a start does not fit.
+/// Reason for which [`Ledger::admit`] refuses a task.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Refusal {
+    /// No limits were set yet.
     NoConfiguration,
+    /// The configuration has no class with this name.
     UnknownClass,
-    /// Running tasks exceed the capacity for batch work.
-    Relieving,
+    /// Reservations of running tasks exceed a limit; nothing starts until they are back below it.
+    Overcommitted,
+    /// A closing allows only other classes to start.
     NotInClosing,
-    ClassLimit {
-        need: Resources,
-        room: Resources,
-    },
-    Capacity {
-        need: Resources,
-        room: Resources,
-    },
+    /// The task does not fit the limit of its class.
+    ClassLimit { need: Resources, available: Resources },
+    /// The task does not fit the free capacity for batch work.
+    Capacity { need: Resources, available: Resources },
 }
 
 impl fmt::Display for Refusal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let amounts =
-            |f: &mut fmt::Formatter<'_>, text: &str, need: &Resources, room: &Resources| {
+        let write_amounts =
+            |f: &mut fmt::Formatter<'_>, text: &str, need: &Resources, available: &Resources| {
                 write!(
                     f,
                     "{text}: needs cpu_milli={} memory_mib={} accelerators={}, \
@@ -63,74 +70,91 @@
                     need.cpu_milli,
                     need.memory_mib,
                     need.accelerators,
-                    room.cpu_milli,
-                    room.memory_mib,
-                    room.accelerators
+                    available.cpu_milli,
+                    available.memory_mib,
+                    available.accelerators
                 )
             };
         match self {
             Refusal::NoConfiguration => f.write_str("no configuration yet"),
             Refusal::UnknownClass => f.write_str("class is not configured"),
-            Refusal::Relieving => f.write_str("running tasks exceed the capacity for batch work"),
+            Refusal::Overcommitted => {
+                f.write_str("running tasks exceed the capacity for batch work")
+            }
             Refusal::NotInClosing => f.write_str("class does not belong to the closing"),
-            Refusal::ClassLimit { need, room } => amounts(f, "class limit", need, room),
-            Refusal::Capacity { need, room } => amounts(f, "capacity", need, room),
+            Refusal::ClassLimit { need, available } => {
+                write_amounts(f, "class limit", need, available)
+            }
+            Refusal::Capacity { need, available } => write_amounts(f, "capacity", need, available),
         }
     }
 }
 
-/// What to do about usage above a limit.
+/// Action on a running task that the caller of [`Ledger::enforce_limits`] has to carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Relief {
+pub enum LimitAction {
     Throttle(AttemptId),
     Evict(AttemptId),
-    /// The task may run at full speed again.
+    /// Lets a throttled task run at full speed again.
     Restore(AttemptId),
 }
 
-/// A task as the ledger sees it.
+/// Resources that a task needs, with the properties that decide its admission.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Held {
+pub struct TaskDemand {
     pub class: String,
     pub need: Resources,
+    /// Whether the task belongs to an urgent class.
     pub urgent: bool,
-    /// Last known usage, here or of an earlier attempt.
+    /// Last measured usage, of this attempt or an earlier one; zero if unknown.
     pub measured: Resources,
 }
 
+/// Reservation of one attempt, with its throttling state.
 #[derive(Debug, Clone)]
 struct Reservation {
-    held: Held,
-    /// Order of admission.
-    order: u64,
-    /// Usage at full speed, as last measured.
-    full: Resources,
+    demand: TaskDemand,
+    /// Position in the order of admission; higher numbers are newer.
+    admission_order: u64,
+    /// Last usage measured at full speed.
+    full_usage: Resources,
+    /// Whether a stop was ordered; the reservation stays until the stop is confirmed.
     stopping: bool,
+    /// Time since which the task is throttled.
     throttled_at: Option<Time>,
+    /// Time of the last return to full speed.
     restored_at: Option<Time>,
 }
 
 impl Reservation {
-    fn amount(&self) -> Resources {
-        self.held.need.max(&self.held.measured)
+    /// Returns the larger of the declared need and the measured usage.
+    fn reserved_amount(&self) -> Resources {
+        self.demand.need.max(&self.demand.measured)
     }
 }
 
-/// Reservations of one VM.
+/// Reservations and limits of one VM.
 #[derive(Debug, Clone)]
 pub struct Ledger {
     capacity: Resources,
     limits: Option<Limits>,
-    /// Time for an effect to become visible in measurements.
-    settle: Time,
+    /// Time until a throttle or restore shows in the measurements: twice their lag.
+    settle_time: Time,
     tasks: BTreeMap<AttemptId, Reservation>,
+    /// Position of the next task in the order of admission.
     next_order: u64,
 }
 
 impl Ledger {
-    /// Builds an empty ledger. `lag` is the lag of usage measurements.
+    /// Builds an empty ledger. `lag` is the delay of usage measurements.
     pub fn new(capacity: Resources, lag: Time) -> Self {
-        Ledger { capacity, limits: None, settle: lag * 2, tasks: BTreeMap::new(), next_order: 0 }
+        Ledger {
+            capacity,
+            limits: None,
+            settle_time: lag * 2,
+            tasks: BTreeMap::new(),
+            next_order: 0,
+        }
     }
 
     /// Sets the size of the VM.
@@ -138,30 +162,32 @@
         self.capacity = capacity;
     }
 
-    /// Sets the limits in effect. Without limits nothing is admitted.
+    /// Sets the limits in effect. Until the first call, [`Ledger::admit`] refuses every task.
     pub fn set_limits(&mut self, limits: Limits) {
         self.limits = Some(limits);
     }
 
-    /// Capacity of the VM without what is reserved for its service and closed to batch work.
+    /// Returns the capacity for batch work: the VM's capacity minus the service's limit, capped by
+    /// the closing's limit.
     pub fn batch_capacity(&self) -> Resources {
         let Some(limits) = &self.limits else { return Resources::default() };
-        let room = self.capacity.minus(&limits.service);
-        limits.closing.as_ref().map_or(room, |closing| room.min(&closing.batch))
+        let available = self.capacity.minus(&limits.service);
+        limits.closing.as_ref().map_or(available, |closing| available.min(&closing.batch))
     }
 
-    /// Sum of the reservations.
+    /// Returns the sum of all reservations.
     pub fn reserved(&self) -> Resources {
         sum(self.tasks.values())
     }
 
-    /// Part of the batch capacity that is not reserved.
+    /// Returns the part of the batch capacity that is not reserved.
     pub fn free(&self) -> Resources {
         self.batch_capacity().minus(&self.reserved())
     }
 
-    /// Part that urgent work may take. The limit of a closing holds for it only from the start of
-    /// the closing: it must start within seconds, while the preparation takes minutes.
+    /// Returns the resources that urgent tasks may still reserve. A closing limits urgent tasks
+    /// only once it is enforced: they must start within seconds, while its preparation takes
+    /// minutes.
     pub fn urgent_free(&self) -> Resources {
         match &self.limits {
             Some(_) => self.enforced_capacity().minus(&self.reserved()),
@@ -169,8 +195,8 @@
         }
     }
 
-    /// Tells whether running tasks hold more than is allowed.
-    pub fn is_over(&self) -> bool {
+    /// Tells whether the reservations exceed the enforced capacity or a class limit.
+    pub fn is_overcommitted(&self) -> bool {
         self.excess(|_| true).is_some()
     }
 
@@ -179,20 +205,21 @@
         self.tasks.contains_key(attempt)
     }
 
-    /// Speed that the ledger allows a task, in percent.
+    /// Returns the speed that the ledger allows the attempt, in percent of full speed.
     pub fn speed(&self, attempt: &AttemptId) -> u8 {
         match self.tasks.get(attempt) {
-            Some(task) if task.throttled_at.is_some() => GROWTH_SPEED,
+            Some(task) if task.throttled_at.is_some() => THROTTLED_SPEED_PERCENT,
             _ => 100,
         }
     }
 
-    /// Reserves room for a new attempt.
+    /// Reserves resources for a new attempt.
     ///
     /// # Errors
     ///
-    /// Refuses what does not fit, and everything while running tasks hold too much.
-    pub fn admit(&mut self, attempt: AttemptId, task: Held) -> Result<(), Refusal> {
+    /// Returns the reason if the task does not fit, and [`Refusal::Overcommitted`] for every task
+    /// while the existing reservations exceed a limit.
+    pub fn admit(&mut self, attempt: AttemptId, task: TaskDemand) -> Result<(), Refusal> {
         let limits = self.limits.as_ref().ok_or(Refusal::NoConfiguration)?;
         let class_limit = limits.classes.get(&task.class).ok_or(Refusal::UnknownClass)?;
         if let Some(closing) = &limits.closing {
@@ -204,31 +231,32 @@
             true => self.enforced_capacity(),
             false => self.batch_capacity(),
         };
-        // The limit of a closing that is only being prepared may be exceeded as well.
-        if self.is_over() || !self.reserved().fits_in(&capacity) {
-            return Err(Refusal::Relieving);
+        // `is_overcommitted` ignores a closing that is not enforced yet; the second condition
+        // covers its limit.
+        if self.is_overcommitted() || !self.reserved().fits_in(&capacity) {
+            return Err(Refusal::Overcommitted);
         }
         let need = task.need.max(&task.measured);
-        let used = sum(self.tasks.values().filter(|other| other.held.class == task.class));
+        let used = sum(self.tasks.values().filter(|other| other.demand.class == task.class));
         if !used.plus(&need).fits_in(class_limit) {
-            return Err(Refusal::ClassLimit { need, room: class_limit.minus(&used) });
+            return Err(Refusal::ClassLimit { need, available: class_limit.minus(&used) });
         }
         if !self.reserved().plus(&need).fits_in(&capacity) {
-            return Err(Refusal::Capacity { need, room: capacity.minus(&self.reserved()) });
+            return Err(Refusal::Capacity { need, available: capacity.minus(&self.reserved()) });
         }
         self.adopt(attempt, task);
         Ok(())
     }
 
-    /// Records a task that runs already, whether it fits or not.
-    pub fn adopt(&mut self, attempt: AttemptId, task: Held) {
-        let order = self.next_order;
+    /// Adds a reservation for a task that already runs, whether it fits or not.
+    pub fn adopt(&mut self, attempt: AttemptId, task: TaskDemand) {
+        let admission_order = self.next_order;
         self.next_order += 1;
-        let full = task.measured;
+        let full_usage = task.measured;
         let reservation = Reservation {
-            held: task,
-            order,
-            full,
+            demand: task,
+            admission_order,
+            full_usage,
             stopping: false,
             throttled_at: None,
             restored_at: None,
@@ -236,17 +264,18 @@
         self.tasks.entry(attempt).or_insert(reservation);
     }
 
-    /// Records measured usage. Zero means that none is known yet.
-    pub fn measure(&mut self, now: Time, attempt: &AttemptId, usage: Resources) {
-        let settle = self.settle;
+    /// Records the measured usage of an attempt. Zero usage means "not measured yet" and is
+    /// ignored.
+    pub fn record_usage(&mut self, now: Time, attempt: &AttemptId, usage: Resources) {
+        let settle_time = self.settle_time;
         match self.tasks.get_mut(attempt) {
             Some(task) if !usage.is_zero() => {
-                // Measurements lag: just after a restore they still show the throttled usage.
-                let settling = task.restored_at.is_some_and(|at| now < at + settle);
-                let usage = if settling { task.held.measured.max(&usage) } else { usage };
-                task.held.measured = usage;
-                task.full = match task.throttled_at {
-                    Some(_) => task.full.max(&usage),
+                // Measurements lag, so just after a restore they still show throttled usage.
+                let settling = task.restored_at.is_some_and(|at| now < at + settle_time);
+                let usage = if settling { task.demand.measured.max(&usage) } else { usage };
+                task.demand.measured = usage;
+                task.full_usage = match task.throttled_at {
+                    Some(_) => task.full_usage.max(&usage),
                     None => usage,
                 };
             }
@@ -254,122 +283,131 @@
         }
     }
 
-    /// Records that a task is being stopped. It keeps its reservation.
+    /// Records that an attempt was ordered to stop. Its reservation stays until
+    /// [`Ledger::release`].
     pub fn mark_stopping(&mut self, attempt: &AttemptId) {
         if let Some(task) = self.tasks.get_mut(attempt) {
             task.stopping = true;
         }
     }
 
-    /// Frees the reservation of an attempt that is confirmed gone.
+    /// Frees the reservation of an attempt after the worker has confirmed its end.
     pub fn release(&mut self, attempt: &AttemptId) {
         self.tasks.remove(attempt);
     }
 
-    /// Decides what to do about usage above a limit: throttles the newest task, and evicts it if
-    /// the usage is still too high once the throttle should be visible in the measurements.
-    pub fn relieve(&mut self, now: Time) -> Vec<Relief> {
-        let mut reliefs = Vec::new();
-        while let Some((class, over)) = self.excess(|task| !task.stopping) {
-            let Some(victim) = self.newest(class.as_deref(), &over) else { break };
-            let settle = self.settle;
+    /// Decides how to bring reservations back below the limits: throttles the newest task that
+    /// contributes, and evicts it if a limit is still exceeded once the measurements should show
+    /// the throttle. With no limit exceeded, restores at most one throttled task.
+    pub fn enforce_limits(&mut self, now: Time) -> Vec<LimitAction> {
+        let mut actions = Vec::new();
+        while let Some((class, overuse)) = self.excess(|task| !task.stopping) {
+            let Some(victim) = self.newest_offender(class.as_deref(), &overuse) else { break };
+            let settle_time = self.settle_time;
             let Some(task) = self.tasks.get_mut(&victim) else { break };
             match task.throttled_at {
                 None => {
                     task.throttled_at = Some(now);
-                    reliefs.push(Relief::Throttle(victim));
+                    actions.push(LimitAction::Throttle(victim));
                     break;
                 }
-                Some(at) if now < at + settle => break,
+                Some(at) if now < at + settle_time => break,
                 Some(_) => {
                     task.stopping = true;
-                    reliefs.push(Relief::Evict(victim));
+                    actions.push(LimitAction::Evict(victim));
                 }
             }
         }
-        if reliefs.is_empty() && !self.is_over() {
-            reliefs.extend(self.restore(now));
+        if actions.is_empty() && !self.is_overcommitted() {
+            actions.extend(self.restore(now));
         }
-        reliefs
+        actions
     }
 
-    /// Restores the oldest throttled task whose usage at full speed fits.
-    fn restore(&mut self, now: Time) -> Option<Relief> {
-        let settle = self.settle;
-        let fits = |attempt: &AttemptId, task: &Reservation| {
-            let due = task.throttled_at.is_some_and(|at| now >= at + settle);
+    /// Restores the oldest throttled task whose full-speed usage fits the limits.
+    fn restore(&mut self, now: Time) -> Option<LimitAction> {
+        let settle_time = self.settle_time;
+        let is_restorable = |attempt: &AttemptId, task: &Reservation| {
+            let due = task.throttled_at.is_some_and(|at| now >= at + settle_time);
             due && !task.stopping && self.fits_at_full_speed(attempt, task)
         };
         let oldest = self
             .tasks
             .iter()
-            .filter(|(attempt, task)| fits(attempt, task))
-            .min_by_key(|(_, task)| task.order)
+            .filter(|(attempt, task)| is_restorable(attempt, task))
+            .min_by_key(|(_, task)| task.admission_order)
             .map(|(attempt, _)| attempt.clone())?;
         let task = self.tasks.get_mut(&oldest)?;
         task.throttled_at = None;
         task.restored_at = Some(now);
-        // Reserved until measured again, so that nothing else takes the room meanwhile.
-        task.held.measured = task.held.measured.max(&task.full);
-        Some(Relief::Restore(oldest))
+        // Reserves the full-speed usage at once, so that no other task takes these resources before
+        // the next measurement.
+        task.demand.measured = task.demand.measured.max(&task.full_usage);
+        Some(LimitAction::Restore(oldest))
     }
 
+    /// Tells whether the limits hold if the task runs at full speed beside all other tasks.
     fn fits_at_full_speed(&self, attempt: &AttemptId, task: &Reservation) -> bool {
         let Some(limits) = &self.limits else { return false };
-        let full = task.held.need.max(&task.full);
+        let full_usage = task.demand.need.max(&task.full_usage);
         let others = self.tasks.iter().filter(|(other, _)| *other != attempt);
-        let class = others.clone().filter(|(_, other)| other.held.class == task.held.class);
-        let class_fits = limits
-            .classes
-            .get(&task.held.class)
-            .is_none_or(|limit| sum(class.map(|(_, other)| other)).plus(&full).fits_in(limit));
+        let class = others.clone().filter(|(_, other)| other.demand.class == task.demand.class);
+        let class_fits = limits.classes.get(&task.demand.class).is_none_or(|limit| {
+            sum(class.map(|(_, other)| other)).plus(&full_usage).fits_in(limit)
+        });
         class_fits
-            && sum(others.map(|(_, other)| other)).plus(&full).fits_in(&self.enforced_capacity())
+            && sum(others.map(|(_, other)| other))
+                .plus(&full_usage)
+                .fits_in(&self.enforced_capacity())
     }
 
+    /// Returns the capacity that running tasks must not exceed: like `batch_capacity`, but a
+    /// closing counts only once it is enforced.
     fn enforced_capacity(&self) -> Resources {
         let Some(limits) = &self.limits else { return self.capacity };
-        let room = self.capacity.minus(&limits.service);
+        let available = self.capacity.minus(&limits.service);
         match &limits.closing {
-            Some(closing) if closing.enforced => room.min(&closing.batch),
-            _ => room,
+            Some(closing) if closing.enforced => available.min(&closing.batch),
+            _ => available,
         }
     }
 
-    /// Returns what the counted tasks hold above a limit, with the class if it is a class's.
+    /// Returns the amount by which the reservations of the tasks selected by `counted` exceed a
+    /// limit, with the class if the limit is that of a class.
     fn excess(
         &self,
         counted: impl Fn(&Reservation) -> bool,
     ) -> Option<(Option<String>, Resources)> {
         let tasks = || self.tasks.values().filter(|task| counted(task));
-        let over = sum(tasks()).minus(&self.enforced_capacity());
-        if !over.is_zero() {
-            return Some((None, over));
+        let overuse = sum(tasks()).minus(&self.enforced_capacity());
+        if !overuse.is_zero() {
+            return Some((None, overuse));
         }
         let classes = &self.limits.as_ref()?.classes;
         classes.iter().find_map(|(class, limit)| {
-            let over = sum(tasks().filter(|task| task.held.class == *class)).minus(limit);
-            (!over.is_zero()).then(|| (Some(class.clone()), over))
+            let overuse = sum(tasks().filter(|task| task.demand.class == *class)).minus(limit);
+            (!overuse.is_zero()).then(|| (Some(class.clone()), overuse))
         })
     }
 
-    /// Newest task that holds some of what is exceeded. Work outside a closing goes first, urgent
-    /// work last.
-    fn newest(&self, class: Option<&str>, over: &Resources) -> Option<AttemptId> {
+    /// Returns the task to throttle or evict: the newest one that reserves some of the exceeded
+    /// resources. Tasks outside the closing's classes come first, urgent tasks last.
+    fn newest_offender(&self, class: Option<&str>, overuse: &Resources) -> Option<AttemptId> {
         let closing = self.limits.as_ref().and_then(|limits| limits.closing.as_ref());
-        let belongs = |task: &Reservation| {
-            closing.is_some_and(|closing| closing.classes.contains(&task.held.class))
+        let in_closing = |task: &Reservation| {
+            closing.is_some_and(|closing| closing.classes.contains(&task.demand.class))
         };
         self.tasks
             .iter()
             .filter(|(_, task)| !task.stopping)
-            .filter(|(_, task)| class.is_none_or(|class| class == task.held.class))
-            .filter(|(_, task)| !over.min(&task.amount()).is_zero())
-            .max_by_key(|(_, task)| (!task.held.urgent, !belongs(task), task.order))
+            .filter(|(_, task)| class.is_none_or(|class| class == task.demand.class))
+            .filter(|(_, task)| !overuse.min(&task.reserved_amount()).is_zero())
+            .max_by_key(|(_, task)| (!task.demand.urgent, !in_closing(task), task.admission_order))
             .map(|(attempt, _)| attempt.clone())
     }
 }
 
+/// Returns the sum of the reserved amounts.
 fn sum<'a>(tasks: impl Iterator<Item = &'a Reservation>) -> Resources {
-    tasks.fold(Resources::default(), |sum, task| sum.plus(&task.amount()))
+    tasks.fold(Resources::default(), |sum, task| sum.plus(&task.reserved_amount()))
 }
--- a/crates/core/tests/cell_history.rs
+++ b/crates/core/tests/cell_history.rs
@@ -1,5 +1,5 @@
-//! The history checker rejects a bad history of each kind. Guards against a checker that passes
-//! everything.
+//! Tests of the history checker: it rejects a bad history for each kind of violation. Guards
+//! against a checker that accepts everything.
 
 #[path = "support/history.rs"]
 mod history;
@@ -60,6 +60,7 @@
     Observation::JobAccepted("job".to_owned())
 }
 
+/// Returns the state after the committed events of a history.
 fn replay(history: &[Observation]) -> CellState {
     let mut state = CellState::default();
     for fact in history {
@@ -70,7 +71,7 @@
     state
 }
 
-fn verdict(history: &[Observation]) -> Result<(), Violation> {
+fn check_history(history: &[Observation]) -> Result<(), Violation> {
     check(history, &replay(history)).map_err(|(violation, _)| violation)
 }
 
@@ -79,7 +80,7 @@
     let mut history = vec![submitted(), promised(), started(1), begun(1), ended(1)];
     history.extend([evicted(1, None), started(2), begun(2), ended(2), completed(2)]);
     history.push(Observation::Acknowledged(id(2)));
-    assert_eq!(verdict(&history), Ok(()));
+    assert_eq!(check_history(&history), Ok(()));
 }
 
 #[test]
@@ -87,7 +88,10 @@
     let run = |number| [started(number), begun(number), ended(number)];
     let begin = [submitted(), promised()];
     let cases: Vec<(Violation, Vec<Observation>)> = vec![
-        (Violation::ConcurrentAttempts, vec![started(1), begun(1), evicted(1, None), started(2), begun(2)]),
+        (
+            Violation::ConcurrentAttempts,
+            vec![started(1), begun(1), evicted(1, None), started(2), begun(2)],
+        ),
         (Violation::ConcurrentAttempts, vec![started(1), started(2)]),
         (Violation::RepeatedExecution, vec![started(1), begun(1), ended(1), begun(1)]),
         (Violation::ExecutionWithoutStart, vec![begun(1)]),
@@ -103,14 +107,17 @@
         (Violation::StartAfterCancel, vec![started(1), cancelled(), evicted(1, None), begun(1)]),
         (Violation::StartAfterCompletion, [&run(1)[..], &[completed(1), started(2)]].concat()),
         (Violation::TokenNotIncreased, vec![started(2), evicted(2, None), started(1)]),
-        (Violation::AcknowledgedBeforeCommit, [&run(1)[..], &[Observation::Acknowledged(id(1))]].concat()),
+        (
+            Violation::AcknowledgedBeforeCommit,
+            [&run(1)[..], &[Observation::Acknowledged(id(1))]].concat(),
+        ),
         (Violation::JobNotFinished, run(1).to_vec()),
     ];
     for (violation, rest) in cases {
         let history = [&begin[..], &rest].concat();
-        assert_eq!(verdict(&history), Err(violation), "history {history:?}");
+        assert_eq!(check_history(&history), Err(violation), "history {history:?}");
     }
-    assert_eq!(verdict(&[promised()]), Err(Violation::AcceptedJobMissing));
+    assert_eq!(check_history(&[promised()]), Err(Violation::AcceptedJobMissing));
 }
 
 #[test]
@@ -122,14 +129,14 @@
         job.completed = 2;
     }
     let found = check(&history, &end).map_err(|(violation, _)| violation);
-    assert_eq!(found, Err(Violation::WrongFinalState), "a task counted twice");
+    assert_eq!(found, Err(Violation::WrongFinalState), "a task counted as completed twice");
     end.jobs.clear();
     let found = check(&history, &end).map_err(|(violation, _)| violation);
-    assert_eq!(found, Err(Violation::AcceptedJobMissing), "a job that is gone");
+    assert_eq!(found, Err(Violation::AcceptedJobMissing), "a submitted job is missing");
 }
 
 #[test]
 fn rejects_a_second_completion() {
     let history = [submitted(), started(1), completed(1), started(1), completed(1)];
-    assert!(verdict(&history).is_err());
+    assert!(check_history(&history).is_err());
 }
--- a/crates/core/tests/cell_owner/fixture.rs
+++ b/crates/core/tests/cell_owner/fixture.rs
@@ -1,4 +1,4 @@
-//! An owner of a cell, with agents that obey it.
+//! Test fixture: a cell's owner with simulated agents.
 
 use std::time::Duration;
 
@@ -15,12 +15,13 @@
 use peridotfold_core::time::Time;
 
 pub const LEASE: Duration = Duration::from_secs(20);
-pub const HOLD: Duration = Duration::from_secs(600);
+pub const OUTAGE_HOLD: Duration = Duration::from_secs(600);
 
 pub fn ms(number: u64) -> Duration {
     Duration::from_millis(number)
 }
 
+/// Returns a job whose tasks need `cpu` thousandths of a core and 100 MiB.
 pub fn spec(id: &str, class: &str, tasks: u32, cpu: u64) -> JobSpec {
     JobSpec {
         id: id.to_owned(),
@@ -32,6 +33,7 @@
     }
 }
 
+/// Returns the limits of a normal and an urgent class, and a CPU quota of one team.
 pub fn limits(quota: u64) -> Limits {
     let limit = Resources::new(16_000, 64_000, 4);
     Limits {
@@ -41,19 +43,24 @@
     }
 }
 
-/// An owner with agents that obey each order at once.
+/// Cell owner with agents that carry out each order at once, on virtual time.
 pub struct Fixture {
     pub cell: Cell,
     pub now: Time,
+    /// Sequence number of the last report.
     pub sequence: u64,
-    pub log: Vec<Event>,
+    pub committed_events: Vec<Event>,
+    /// Id, running tasks and unacknowledged results of each agent.
     pub agents: Vec<(String, Vec<StartOrder>, Vec<TaskResult>)>,
+    /// Capacity of each worker.
     pub capacity: Resources,
-    /// Usage that is reported for each task.
+    /// Usage reported for each task.
     pub measured: Resources,
 }
 
 impl Fixture {
+    /// Creates an owner and agents with `cpu` thousandths of a core each, after the discovery
+    /// period.
     pub fn new(agents: usize, cpu: u64, quota: u64) -> Self {
         let agents = (0..agents).map(|n| (format!("vm-{n}"), Vec::new(), Vec::new()));
         let settings = CellSettings::default();
@@ -64,7 +71,7 @@
             cell,
             now: Time::ZERO,
             sequence: 0,
-            log: Vec::new(),
+            committed_events: Vec::new(),
             agents: agents.collect(),
             capacity: Resources::new(cpu, 64_000, 0),
             measured: Resources::default(),
@@ -74,6 +81,7 @@
         fixture
     }
 
+    /// Replaces the owner with a new one in the next epoch.
     pub fn take_over(&mut self) {
         let state = self.replay();
         let epoch = self.cell.epoch() + 1;
@@ -83,22 +91,26 @@
         self.commit();
     }
 
+    /// Returns the state after all committed events.
     pub fn replay(&self) -> CellState {
         let mut state = CellState::default();
-        self.log.iter().for_each(|event| state.apply(event));
+        self.committed_events.iter().for_each(|event| state.apply(event));
         state
     }
 
+    /// Commits the next batch and returns the effects that it releases.
     pub fn commit(&mut self) -> Vec<Effect> {
-        self.log.extend(self.cell.take_batch());
-        self.cell.note_commit();
+        self.committed_events.extend(self.cell.take_batch());
+        self.cell.confirm_commit();
         self.cell.take_effects()
     }
 
+    /// Sends the report of an agent and returns the answer.
     pub fn report(&mut self, agent: usize, epoch: u64) -> Orders {
         self.sequence += 1;
         let (id, running, results) = &self.agents[agent];
-        let held = running.iter().fold(Resources::default(), |sum, start| sum.plus(&start.need));
+        let reserved =
+            running.iter().fold(Resources::default(), |sum, start| sum.plus(&start.need));
         let tasks = running.iter().map(|start| RunningTask {
             attempt: start.attempt.clone(),
             measured: self.measured,
@@ -114,8 +126,8 @@
             state: AgentState::Ready,
             epoch,
             batch_capacity: self.capacity,
-            free: self.capacity.minus(&held),
-            urgent_free: self.capacity.minus(&held),
+            free: self.capacity.minus(&reserved),
+            urgent_free: self.capacity.minus(&reserved),
             running: tasks.collect(),
             results: results.clone(),
             pressure_percent: 0,
@@ -124,7 +136,8 @@
         self.cell.answer(self.now, id, 1, self.sequence).expect("the owner")
     }
 
-    pub fn obey(&mut self, agent: usize, orders: Orders) -> usize {
+    /// Carries out the orders of an answer; returns the number of starts.
+    pub fn apply_orders(&mut self, agent: usize, orders: Orders) -> usize {
         let (_, running, results) = &mut self.agents[agent];
         results.retain(|result| !orders.acknowledged.contains(&result.attempt));
         for stop in orders.stops {
@@ -137,31 +150,34 @@
         count
     }
 
-    /// Time passes; each agent reports; the owner places and commits; orders reach the agents.
+    /// Advances the time, lets each agent report and carry out its orders, then lets the owner
+    /// place tasks and commit. Returns the number of starts that reached the agents.
     pub fn round(&mut self, step: Duration) -> usize {
         self.now += step;
-        self.cell.note_store(self.now);
+        self.cell.record_store_contact(self.now);
         let mut starts = 0;
         for agent in 0..self.agents.len() {
             let orders = self.report(agent, self.cell.epoch());
-            starts += self.obey(agent, orders);
+            starts += self.apply_orders(agent, orders);
         }
         self.cell.poll(self.now);
         self.commit();
         starts
     }
 
+    /// Ends all tasks of an agent with the same outcome.
     pub fn end_all(&mut self, agent: usize, outcome: &Outcome) {
         let (_, running, results) = &mut self.agents[agent];
         let ended = running.drain(..).map(|start| start.attempt);
         results.extend(ended.map(|attempt| TaskResult { attempt, outcome: outcome.clone() }));
     }
 
+    /// Submits a new job.
     pub fn submit(&mut self, spec: JobSpec) {
         assert_eq!(self.cell.submit(spec, 1), SubmitReply::Created);
     }
 
-    /// Number of the job's attempts that have not ended.
+    /// Returns the number of current attempts of a job.
     pub fn running(&self, job: &str) -> usize {
         self.cell.state().jobs[job].attempts.len()
     }
--- a/crates/core/tests/composed/world.rs
+++ b/crates/core/tests/composed/world.rs
@@ -10,7 +10,7 @@
 use peridotfold_core::resources::Resources;
 use peridotfold_core::time::Time;
 
-use crate::cell_world::{ms, Answer, CellWorld, Ended, Input, Timing};
+use crate::cell_world::{ms, Answer, CellWorld, Input, RunResult, Timing};
 use crate::schedules;
 use crate::vm::Vm;
 
@@ -22,13 +22,13 @@
     settings: CellSettings {
         lease: Duration::from_secs(4),
         outage_hold: Duration::from_secs(8),
-        settle: Duration::from_secs(2),
+        discovery_period: Duration::from_secs(2),
         silent: Duration::from_secs(3),
     },
     faults_end: FAULTS_END,
-    give_up: Duration::from_secs(400),
-    usual_ms: 60,
-    late_ms: 10_000,
+    time_limit: Duration::from_secs(400),
+    max_delay_ms: 60,
+    max_late_ms: 10_000,
     late_one_in: 40,
 };
 /// Time from a fault of an owner to the takeover by its successor.
@@ -145,7 +145,7 @@
 
 impl World {
     /// Runs the schedule of a seed to its end.
-    pub fn run(seed: u64) -> Ended {
+    pub fn run(seed: u64) -> RunResult {
         let mut world = World::new(seed);
         while let Some(input) = world.cell.next() {
             world.handle(input);
@@ -160,7 +160,7 @@
         world.add_jobs();
         world.cell.take_over();
         (0..VM_COUNT).for_each(|vm| world.boot(vm, None));
-        world.after(VM_STEP_INTERVAL, WorldInput::StepVms);
+        world.schedule(VM_STEP_INTERVAL, WorldInput::StepVms);
         world.add_faults();
         world
     }
@@ -184,11 +184,11 @@
             cell.add_job(job, ms(at));
             if cell.rng.u8(0..3) == 0 {
                 let lead = cell.rng.u64(0..200).min(at);
-                cell.after(ms(at - lead), Input::World(WorldInput::SplitBrain));
+                cell.schedule(ms(at - lead), Input::World(WorldInput::SplitBrain));
             }
             if cell.rng.u8(0..4) == 0 {
                 let at = cell.rng.u64(at..22_000);
-                cell.after(ms(at), Input::Cancel(index));
+                cell.schedule(ms(at), Input::Cancel(index));
             }
         }
     }
@@ -197,16 +197,16 @@
     fn add_faults(&mut self) {
         for _ in 0..self.cell.rng.usize(1..6) {
             let at = self.cell.rng.u64(1_000..FAULTS_END.as_millis() as u64 - 2_000);
-            self.after(ms(at), WorldInput::Fault);
+            self.schedule(ms(at), WorldInput::Fault);
             if self.cell.rng.bool() {
                 let second = at + self.cell.rng.u64(0..2_000);
-                self.after(ms(second), WorldInput::Fault);
+                self.schedule(ms(second), WorldInput::Fault);
             }
         }
     }
 
-    fn after(&mut self, delay: Duration, input: WorldInput) {
-        self.cell.after(delay, Input::World(input));
+    fn schedule(&mut self, delay: Duration, input: WorldInput) {
+        self.cell.schedule(delay, Input::World(input));
     }
 
     fn handle(&mut self, input: WorldInput) {
@@ -221,8 +221,8 @@
             WorldInput::SplitBrain => self.begin_split_brain(),
             WorldInput::CutOwner(SplitBrain { former, .. }) => {
                 let until = self.cell.now + ms(self.cell.rng.u64(6_000..10_000));
-                self.cell.owners[former].cut_until = until.min(FAULTS_END);
-                self.cell.after(FAILOVER_DELAY, Input::TakeOver);
+                self.cell.owners[former].store_cut_until = until.min(FAULTS_END);
+                self.cell.schedule(FAILOVER_DELAY, Input::TakeOver);
             }
             WorldInput::ReportToSuccessor(split_brain) => self.report_to_successor(split_brain),
             WorldInput::ReportToFormer(split_brain) => self.report_to_former(split_brain),
@@ -241,21 +241,21 @@
         match fault {
             Fault::KillOwner => {
                 self.cell.owners[current].cell = None;
-                self.cell.after(FAILOVER_DELAY, Input::TakeOver);
+                self.cell.schedule(FAILOVER_DELAY, Input::TakeOver);
             }
             Fault::PauseOwner => {
                 self.cell.owners[current].paused_until = until;
-                self.cell.after(FAILOVER_DELAY, Input::TakeOver);
+                self.cell.schedule(FAILOVER_DELAY, Input::TakeOver);
             }
             Fault::CutOwner => {
-                self.cell.owners[current].cut_until = until.min(FAULTS_END);
-                self.cell.after(FAILOVER_DELAY, Input::TakeOver);
+                self.cell.owners[current].store_cut_until = until.min(FAULTS_END);
+                self.cell.schedule(FAILOVER_DELAY, Input::TakeOver);
             }
             Fault::ReleaseOwner => {
                 if let Some(cell) = &mut self.cell.owners[current].cell {
                     cell.release();
                 }
-                self.cell.after(FAILOVER_DELAY, Input::TakeOver);
+                self.cell.schedule(FAILOVER_DELAY, Input::TakeOver);
             }
             Fault::KillAgent => self.kill_agent(vm),
             Fault::FreezeAgent => self.vms[vm].frozen_until = until,
@@ -290,14 +290,14 @@
     fn kill_agent(&mut self, vm: usize) {
         self.vms[vm].agent = None;
         let delay = ms(self.cell.rng.u64(50..6_000));
-        self.after(delay, WorldInput::Boot(vm, None));
+        self.schedule(delay, WorldInput::Boot(vm, None));
     }
 
     /// Schedules the restart of an agent, which runs until then even if it was frozen.
     fn restart_agent_later(&mut self, vm: usize) {
         self.vms[vm].frozen_until = self.cell.now;
         let delay = ms(self.cell.rng.u64(1_000..5_000));
-        self.after(delay, WorldInput::Boot(vm, None));
+        self.schedule(delay, WorldInput::Boot(vm, None));
     }
 
     /// Replaces a VM by an empty one, without an agent.
@@ -311,7 +311,7 @@
     fn replace(&mut self, vm: usize) {
         self.replace_machine(vm);
         let delay = ms(self.cell.rng.u64(100..10_000));
-        self.after(delay, WorldInput::Boot(vm, None));
+        self.schedule(delay, WorldInput::Boot(vm, None));
     }
 
     /// Records the starts and ends of attempts on all VMs, and checks the VMs' capacities.
@@ -325,16 +325,16 @@
             vm.check_capacity();
         }
         // A cancellation may race with the report of a result.
-        if ended && !self.cell.is_calm() && self.cell.rng.u8(..8) == 0 {
+        if ended && !self.cell.faults_ended() && self.cell.rng.u8(..8) == 0 {
             let job = self.cell.rng.usize(0..self.cell.jobs.len());
             let delay = ms(self.cell.rng.u64(0..300));
-            self.cell.after(delay, Input::Cancel(job));
+            self.cell.schedule(delay, Input::Cancel(job));
         }
     }
 
     fn step_vms(&mut self) {
-        self.after(VM_STEP_INTERVAL, WorldInput::StepVms);
-        let inject_faults = !self.cell.is_calm();
+        self.schedule(VM_STEP_INTERVAL, WorldInput::StepVms);
+        let inject_faults = !self.cell.faults_ended();
         for index in 0..VM_COUNT {
             if self.vms[index].deliver_delayed_actions(self.cell.now) {
                 self.record_executions();
@@ -364,9 +364,9 @@
         if reports_lost {
             self.vms[vm].reports_lost_until = self.cell.now + to_successor;
         }
-        self.after(cut_delay, WorldInput::CutOwner(split_brain));
-        self.after(to_successor, WorldInput::ReportToSuccessor(split_brain));
-        self.after(to_former, WorldInput::ReportToFormer(split_brain));
+        self.schedule(cut_delay, WorldInput::CutOwner(split_brain));
+        self.schedule(to_successor, WorldInput::ReportToSuccessor(split_brain));
+        self.schedule(to_former, WorldInput::ReportToFormer(split_brain));
     }
 
     fn report_to_successor(&mut self, split_brain: SplitBrain) {
@@ -386,7 +386,7 @@
             Cause::VmReplaced => self.replace_machine(vm),
         }
         let delay = ms(self.cell.rng.u64(50..500));
-        self.after(delay, WorldInput::Boot(vm, Some(former)));
+        self.schedule(delay, WorldInput::Boot(vm, Some(former)));
     }
 
     /// Makes the agent of a VM report to `owner` immediately.
@@ -394,23 +394,23 @@
         if let Some(agent) = &self.vms[vm].agent {
             let (incarnation, sequence) = (agent.incarnation, agent.sequence);
             self.vms[vm].owner = owner;
-            self.after(ms(1), WorldInput::SendReport { vm, incarnation, sequence });
+            self.schedule(ms(1), WorldInput::SendReport { vm, incarnation, sequence });
         }
     }
 
     fn boot(&mut self, vm: usize, owner: Option<usize>) {
         let newest = self.cell.newest();
-        let former = !self.cell.is_calm() && self.cell.rng.bool();
+        let former = !self.cell.faults_ended() && self.cell.rng.bool();
         let any = if former { newest.saturating_sub(1) } else { newest };
         let owner = owner.unwrap_or(any);
         let incarnation = self.cell.rng.u64(1..);
         self.vms[vm].boot(incarnation, owner);
-        self.after(ms(1), WorldInput::SendReport { vm, incarnation, sequence: 0 });
+        self.schedule(ms(1), WorldInput::SendReport { vm, incarnation, sequence: 0 });
     }
 
     /// Sends the next report, unless another one was sent since it was scheduled.
     fn send_report(&mut self, vm: usize, incarnation: Incarnation, sequence: u64) {
-        let (newest, calm) = (self.cell.newest(), self.cell.is_calm());
+        let (newest, calm) = (self.cell.newest(), self.cell.faults_ended());
         let keeps_owner = !calm && self.cell.rng.u8(0..4) > 0;
         // An entry with outdated information may name the former owner to the agent.
         let uses_former_owner = !calm && self.cell.rng.u8(0..25) == 0;
@@ -425,7 +425,7 @@
         }
         let retry = WorldInput::SendReport { vm, incarnation, sequence };
         if frozen {
-            return self.after(VM_STEP_INTERVAL, retry);
+            return self.schedule(VM_STEP_INTERVAL, retry);
         }
         if !state.answered && !keeps_owner {
             state.owner = newest;
@@ -435,7 +435,7 @@
         let owner = state.owner;
         let Some(agent) = &mut state.agent else { return };
         let Some(mut report) = agent.tasks.report(clock, 0) else {
-            return self.after(VM_STEP_INTERVAL, retry);
+            return self.schedule(VM_STEP_INTERVAL, retry);
         };
         // The owner may have a wrong view of a VM: the agent has to refuse starts that do not fit.
         if overstates_free {
@@ -448,12 +448,12 @@
         if !is_cut_off {
             self.cell.deliver(Input::Report { owner, report });
         }
-        self.after(ms(2_000), WorldInput::SendReport { vm, incarnation, sequence });
+        self.schedule(ms(2_000), WorldInput::SendReport { vm, incarnation, sequence });
     }
 
     fn handle_answer(&mut self, answer: Answer) {
         let Some(vm) = self.vms.iter().position(|vm| vm.id == answer.agent) else { return };
-        let calm = self.cell.is_calm();
+        let calm = self.cell.faults_ended();
         let state = &mut self.vms[vm];
         let clock = state.clock(self.cell.now);
         let until = state.frozen_until;
@@ -466,7 +466,7 @@
         }
         if !calm && self.cell.now < until {
             let delay = until - self.cell.now;
-            return self.after(delay, WorldInput::Answer(answer));
+            return self.schedule(delay, WorldInput::Answer(answer));
         }
         let Answer { incarnation, orders, .. } = answer;
         let sequence = agent.sequence;
@@ -478,7 +478,7 @@
         if is_expected {
             // Often earlier than the worker has stored a new epoch.
             let delay = if calm { 100 } else { self.cell.rng.u64(1..200) };
-            self.after(ms(delay), WorldInput::SendReport { vm, incarnation, sequence });
+            self.schedule(ms(delay), WorldInput::SendReport { vm, incarnation, sequence });
         }
     }
 }
--- a/crates/core/tests/ledger.rs
+++ b/crates/core/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! Capacity ledger under seeded random schedules on virtual time.
+//! Tests of the capacity ledger: seeded random schedules on virtual time, and single cases.
 
 #[path = "support/schedules.rs"]
 mod schedules;
@@ -7,17 +7,19 @@
 use std::time::Duration;
 
 use fastrand::Rng;
-use peridotfold_core::ledger::{ClosingLimit, Held, Ledger, Limits, Refusal, Relief};
+use peridotfold_core::ledger::{ClosingLimit, Ledger, LimitAction, Limits, Refusal, TaskDemand};
 use peridotfold_core::message::report::{AttemptId, Token};
 use peridotfold_core::resources::Resources;
 
+/// Number of random schedules.
 const SCHEDULES: u64 = 10_000;
+/// Random steps in one schedule.
 const STEPS: u64 = 150;
-/// Steps without growth and admissions in which everything above a limit has to be freed: each task may need a
-/// throttle, a wait of two lags and a confirmed stop.
-const SETTLE_STEPS: u64 = 400;
-const STEP: Duration = Duration::from_millis(500);
-const LAG: Duration = Duration::from_secs(1);
+/// Rounds without growth and admissions after which no limit may be exceeded. Each task may need a
+/// throttle, a wait of two measurement lags and a confirmed stop.
+const SETTLE_ROUNDS: u64 = 400;
+const STEP_INTERVAL: Duration = Duration::from_millis(500);
+const MEASUREMENT_LAG: Duration = Duration::from_secs(1);
 const CAPACITY: Resources = Resources::new(16_000, 60_000, 2);
 const SERVICE: Resources = Resources::new(10_000, 20_000, 0);
 const CLASS_LIMIT: Resources = Resources::new(5_000, 30_000, 1);
@@ -31,30 +33,35 @@
     Limits { service: SERVICE, classes: BTreeMap::from(classes), closing }
 }
 
+/// Task that runs on the simulated worker.
 struct Task {
-    held: Held,
-    /// Usage at full speed, whatever was declared.
+    demand: TaskDemand,
+    /// Actual usage at full speed, independent of the declared need.
     usage: Resources,
+    /// Allowed speed, in percent.
     speed: u64,
     throttled_at: Option<Duration>,
 }
 
+/// Simulated worker with its ledger.
 struct World {
     rng: Rng,
     now: Duration,
     ledger: Ledger,
     limits: Limits,
     tasks: BTreeMap<AttemptId, Task>,
+    /// Evicted attempts whose stop is not confirmed yet.
     stopping: BTreeSet<AttemptId>,
+    /// Number of the next attempt.
     next: u64,
 }
 
 impl World {
     fn new(seed: u64) -> World {
-        let mut ledger = Ledger::new(CAPACITY, LAG);
+        let mut ledger = Ledger::new(CAPACITY, MEASUREMENT_LAG);
         let refused = ledger.admit(
             id(0),
-            Held {
+            TaskDemand {
                 class: "rebuild".into(),
                 need: Resources::new(1, 1, 0),
                 urgent: false,
@@ -74,41 +81,45 @@
         }
     }
 
-    fn held(&self) -> Resources {
-        let amounts = self.tasks.values().map(|task| task.held.need.max(&task.held.measured));
+    /// Returns the sum of what the ledger has to reserve.
+    fn total_held(&self) -> Resources {
+        let amounts = self.tasks.values().map(|task| task.demand.need.max(&task.demand.measured));
         amounts.fold(Resources::default(), |sum, amount| sum.plus(&amount))
     }
 
+    /// Returns the sum of the declared needs.
     fn declared(&self) -> Resources {
-        let needs = self.tasks.values().map(|task| task.held.need);
+        let needs = self.tasks.values().map(|task| task.demand.need);
         needs.fold(Resources::default(), |sum, need| sum.plus(&need))
     }
 
     fn class_held(&self, class: &str) -> Resources {
-        let tasks = self.tasks.values().filter(|task| task.held.class == class);
+        let tasks = self.tasks.values().filter(|task| task.demand.class == class);
         tasks.fold(Resources::default(), |sum, task| {
-            sum.plus(&task.held.need.max(&task.held.measured))
+            sum.plus(&task.demand.need.max(&task.demand.measured))
         })
     }
 
+    /// Performs a random action, then a round.
     fn step(&mut self) {
-        let kind = self.rng.u8(..100);
-        match kind {
+        let percentile = self.rng.u8(..100);
+        match percentile {
             75.. => {}
-            _ if !schedules::step(|| format!("{:?} kind {kind}", self.now)) => {}
+            _ if !schedules::step(|| format!("{:?} kind {percentile}", self.now)) => {}
             0..40 => self.admit(),
             40..60 => self.grow(),
             60..63 => self.change_closing(),
             63..66 => self.restart(),
             _ => self.finish_one(),
         }
-        self.settle();
+        self.run_round();
     }
 
-    fn settle(&mut self) {
-        self.now += STEP;
-        self.measure();
-        self.relieve();
+    /// Advances the time, measures usage, enforces the limits and confirms stops.
+    fn run_round(&mut self) {
+        self.now += STEP_INTERVAL;
+        self.record_usage();
+        self.enforce_limits();
         self.confirm_stops();
         self.check();
     }
@@ -120,7 +131,7 @@
             u64::from(self.rng.u8(..10) == 0),
         );
         let class = ["rebuild", "report", "watch"][self.rng.usize(..3)];
-        let held = Held {
+        let demand = TaskDemand {
             class: class.into(),
             need,
             urgent: self.rng.u8(..8) == 0,
@@ -128,40 +139,41 @@
         };
         let new = id(self.next);
         self.next += 1;
-        let over = self.ledger.is_over();
-        let result = self.ledger.admit(new.clone(), held.clone());
-        if over {
+        let overcommitted = self.ledger.is_overcommitted();
+        let result = self.ledger.admit(new.clone(), demand.clone());
+        if overcommitted {
             assert!(
-                matches!(result, Err(Refusal::Relieving | Refusal::NotInClosing)),
-                "admitted while over: {result:?}"
+                matches!(result, Err(Refusal::Overcommitted | Refusal::NotInClosing)),
+                "admitted while overcommitted: {result:?}"
             );
         }
         match result {
             Ok(()) => {
                 let percent = self.rng.u64(20..400);
                 let usage = Resources::new(need.cpu_milli * percent / 100, need.memory_mib, 0);
-                let task = Task { held: held.clone(), usage, speed: 100, throttled_at: None };
+                let task = Task { demand: demand.clone(), usage, speed: 100, throttled_at: None };
                 self.tasks.insert(new, task);
-                let sum = self.held();
+                let sum = self.total_held();
                 assert!(sum.fits_in(&CAPACITY.minus(&SERVICE)), "over capacity: {sum:?}");
-                assert!(sum.fits_in(&self.batch_limit(held.urgent)), "over the batch limit");
+                assert!(sum.fits_in(&self.batch_limit(demand.urgent)), "over the batch limit");
                 assert!(self.class_held(class).fits_in(&CLASS_LIMIT), "over the class limit");
             }
-            Err(Refusal::Capacity { need, room }) => assert!(!need.fits_in(&room)),
-            Err(Refusal::ClassLimit { need, room }) => assert!(!need.fits_in(&room)),
+            Err(Refusal::Capacity { need, available }) => assert!(!need.fits_in(&available)),
+            Err(Refusal::ClassLimit { need, available }) => assert!(!need.fits_in(&available)),
             Err(Refusal::NotInClosing) => {
                 let closing = self.limits.closing.as_ref().unwrap();
                 assert!(!closing.classes.iter().any(|other| other == class));
             }
             Err(refusal) => {
-                assert_eq!(refusal, Refusal::Relieving);
-                let exceeds = !self.ledger.reserved().fits_in(&self.batch_limit(held.urgent));
-                assert!(over || exceeds, "refused without a reason");
+                assert_eq!(refusal, Refusal::Overcommitted);
+                let exceeds = !self.ledger.reserved().fits_in(&self.batch_limit(demand.urgent));
+                assert!(overcommitted || exceeds, "refused without a reason");
             }
         }
     }
 
-    /// A closing that is only being prepared does not limit urgent work.
+    /// Returns the expected capacity for batch work. A closing in preparation does not limit urgent
+    /// work.
     fn batch_limit(&self, urgent: bool) -> Resources {
         match &self.limits.closing {
             Some(closing) if closing.enforced || !urgent => {
@@ -192,14 +204,14 @@
         self.ledger.set_limits(self.limits.clone());
     }
 
-    /// An agent restarts and adopts what runs.
+    /// Restarts the agent, which rebuilds its ledger from the running tasks.
     fn restart(&mut self) {
-        self.ledger = Ledger::new(CAPACITY, LAG);
+        self.ledger = Ledger::new(CAPACITY, MEASUREMENT_LAG);
         self.ledger.set_limits(self.limits.clone());
         for (attempt, task) in &mut self.tasks {
             task.throttled_at = None;
             task.speed = 100;
-            self.ledger.adopt(attempt.clone(), task.held.clone());
+            self.ledger.adopt(attempt.clone(), task.demand.clone());
         }
         self.stopping.clear();
     }
@@ -218,46 +230,53 @@
         assert!(!self.ledger.holds(attempt));
     }
 
-    fn measure(&mut self) {
+    fn record_usage(&mut self) {
         for (attempt, task) in &mut self.tasks {
             if self.rng.u8(..100) < 70 {
                 let cpu = task.usage.cpu_milli * task.speed / 100;
                 let usage = Resources::new(cpu, task.usage.memory_mib, task.usage.accelerators);
                 if !usage.is_zero() {
-                    task.held.measured = usage;
+                    task.demand.measured = usage;
                 }
-                self.ledger.measure(self.now, attempt, usage);
+                self.ledger.record_usage(self.now, attempt, usage);
             }
         }
     }
 
-    fn relieve(&mut self) {
-        let over = self.ledger.is_over();
-        for relief in self.ledger.relieve(self.now) {
-            match relief {
-                Relief::Throttle(attempt) => {
-                    assert!(over, "throttled without need");
+    fn enforce_limits(&mut self) {
+        let overcommitted = self.ledger.is_overcommitted();
+        for action in self.ledger.enforce_limits(self.now) {
+            match action {
+                LimitAction::Throttle(attempt) => {
+                    assert!(overcommitted, "throttled with no limit exceeded");
                     assert!(!self.stopping.contains(&attempt));
                     let task = self.tasks.get_mut(&attempt).unwrap();
                     task.throttled_at = Some(self.now);
                     task.speed = 50;
                     assert_eq!(self.ledger.speed(&attempt), 50);
                 }
-                Relief::Evict(attempt) => {
+                LimitAction::Evict(attempt) => {
                     let task = &self.tasks[&attempt];
                     let since = task.throttled_at.expect("evicted without a throttle");
-                    assert!(self.now >= since + LAG * 2, "evicted before the throttle shows");
+                    assert!(
+                        self.now >= since + MEASUREMENT_LAG * 2,
+                        "evicted before the measurements show the throttle"
+                    );
                     let before = self.ledger.reserved();
                     self.ledger.mark_stopping(&attempt);
-                    assert_eq!(before, self.ledger.reserved(), "freed before the confirmation");
+                    assert_eq!(
+                        before,
+                        self.ledger.reserved(),
+                        "reservation freed before the stop is confirmed"
+                    );
                     assert!(self.stopping.insert(attempt), "evicted twice");
                 }
-                Relief::Restore(attempt) => {
-                    assert!(!over, "restored while over");
+                LimitAction::Restore(attempt) => {
+                    assert!(!overcommitted, "restored while overcommitted");
                     let task = self.tasks.get_mut(&attempt).unwrap();
                     task.throttled_at = None;
                     task.speed = 100;
-                    assert!(!self.ledger.is_over(), "a restore took too much");
+                    assert!(!self.ledger.is_overcommitted(), "a restore exceeded a limit");
                 }
             }
         }
@@ -273,7 +292,10 @@
 
     fn check(&self) {
         let reserved = self.ledger.reserved();
-        assert!(self.held().fits_in(&reserved), "reserves less than declared and measured");
+        assert!(
+            self.total_held().fits_in(&reserved),
+            "reserves less than the declared needs and measured usage"
+        );
         let assigned = self.declared();
         assert!(assigned.fits_in(&CAPACITY.minus(&SERVICE)), "assigned over capacity");
         assert_eq!(self.ledger.batch_capacity(), self.batch_limit(false));
@@ -282,9 +304,9 @@
     }
 }
 
-/// Guards against a VM that is assigned more than it holds (invariant 1), with wrong declarations,
-/// growth, closings, restarts among running tasks and slow stops; and against growth that is
-/// never relieved.
+/// Guards against reservations above the capacity of a VM (invariant 1) under wrong declarations,
+/// growing usage, closings, agent restarts and slow stops, and against usage that stays above a
+/// limit.
 #[test]
 fn vm_is_never_assigned_more_than_it_holds() {
     schedules::run(SCHEDULES, |seed| {
@@ -292,26 +314,29 @@
         for _ in 0..STEPS {
             world.step();
         }
-        // Whatever is admitted may be declared too small, so nothing is while it settles.
-        for _ in 0..SETTLE_STEPS {
-            world.settle();
+        // An admitted task may outgrow its declared need, so nothing is admitted in these rounds.
+        for _ in 0..SETTLE_ROUNDS {
+            world.run_round();
         }
-        assert!(!world.ledger.is_over(), "seed {seed}: still over after {SETTLE_STEPS} steps");
+        assert!(
+            !world.ledger.is_overcommitted(),
+            "seed {seed}: still overcommitted after {SETTLE_ROUNDS} rounds"
+        );
         1
     });
 }
 
-/// Guards against a closing that leaves batch work of other classes above its limit, or evicts
-/// the closing's own work first.
+/// Guards against a closing that does not bring batch work below its limit, or that evicts tasks of
+/// its own classes first.
 #[test]
 fn closing_frees_its_room_from_other_classes_first() {
-    let mut ledger = Ledger::new(CAPACITY, LAG);
+    let mut ledger = Ledger::new(CAPACITY, MEASUREMENT_LAG);
     ledger.set_limits(limits(None));
     for (number, class) in [(1, "watch"), (2, "report")] {
         let need = Resources::new(2_000, 2_000, 0);
-        let held =
-            Held { class: class.into(), need, urgent: false, measured: Resources::default() };
-        ledger.admit(id(number), held).unwrap();
+        let demand =
+            TaskDemand { class: class.into(), need, urgent: false, measured: Resources::default() };
+        ledger.admit(id(number), demand).unwrap();
     }
     let closing = ClosingLimit {
         batch: Resources::new(2_000, 10_000, 0),
@@ -319,35 +344,35 @@
         enforced: false,
     };
     ledger.set_limits(limits(Some(closing.clone())));
-    assert!(ledger.relieve(Duration::ZERO).is_empty(), "enforced during the preparation");
+    assert!(ledger.enforce_limits(Duration::ZERO).is_empty(), "enforced during the preparation");
     ledger.set_limits(limits(Some(ClosingLimit { enforced: true, ..closing })));
-    assert_eq!(ledger.relieve(Duration::ZERO), [Relief::Throttle(id(1))]);
-    assert_eq!(ledger.relieve(LAG * 2), [Relief::Evict(id(1))]);
+    assert_eq!(ledger.enforce_limits(Duration::ZERO), [LimitAction::Throttle(id(1))]);
+    assert_eq!(ledger.enforce_limits(MEASUREMENT_LAG * 2), [LimitAction::Evict(id(1))]);
     ledger.release(&id(1));
-    assert!(ledger.relieve(LAG * 3).is_empty());
+    assert!(ledger.enforce_limits(MEASUREMENT_LAG * 3).is_empty());
 }
 
 /// Guards against urgent work that waits for minutes while a closing is prepared, and against
-/// urgent work above the limit once the closing has begun.
+/// urgent work above the limit once the closing is enforced.
 #[test]
 fn urgent_work_may_exceed_the_limit_of_a_closing_that_is_only_prepared() {
-    let mut ledger = Ledger::new(CAPACITY, LAG);
+    let mut ledger = Ledger::new(CAPACITY, MEASUREMENT_LAG);
     ledger.set_limits(limits(None));
-    let held = |cpu, urgent| Held {
+    let demand = |cpu, urgent| TaskDemand {
         class: if urgent { "rebuild" } else { "watch" }.into(),
         need: Resources::new(cpu, 2_000, 0),
         urgent,
         measured: Resources::default(),
     };
-    ledger.admit(id(1), held(4_000, false)).unwrap();
+    ledger.admit(id(1), demand(4_000, false)).unwrap();
     let batch = Resources::new(3_000, 10_000, 0);
     let closing = ClosingLimit { batch, classes: Vec::new(), enforced: false };
     ledger.set_limits(limits(Some(closing.clone())));
-    assert_eq!(ledger.admit(id(2), held(100, false)), Err(Refusal::Relieving));
+    assert_eq!(ledger.admit(id(2), demand(100, false)), Err(Refusal::Overcommitted));
     assert_eq!(ledger.urgent_free().cpu_milli, 2_000);
-    ledger.admit(id(3), held(1_000, true)).unwrap();
-    assert!(matches!(ledger.admit(id(4), held(1_001, true)), Err(Refusal::Capacity { .. })));
+    ledger.admit(id(3), demand(1_000, true)).unwrap();
+    assert!(matches!(ledger.admit(id(4), demand(1_001, true)), Err(Refusal::Capacity { .. })));
     ledger.set_limits(limits(Some(ClosingLimit { enforced: true, ..closing })));
-    assert_eq!(ledger.admit(id(5), held(100, true)), Err(Refusal::Relieving));
+    assert_eq!(ledger.admit(id(5), demand(100, true)), Err(Refusal::Overcommitted));
     assert_eq!(ledger.urgent_free().cpu_milli, 0);
 }
--- a/crates/core/tests/support/cell_world.rs
+++ b/crates/core/tests/support/cell_world.rs
@@ -1,5 +1,5 @@
-//! Owners of a cell, their journal, the callers that submit jobs, and the messages between them, on
-//! virtual time. A world adds its VMs and its faults.
+//! Discrete-event simulation of a cell on virtual time: its owners, their journal, the callers that
+//! submit jobs, and the messages between them. The test that uses it adds VMs and faults.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -19,23 +19,33 @@
     Duration::from_millis(number)
 }
 
-/// `I` is what the world handles itself.
+/// Scheduled event of the simulation. `I` is the type of the events that the test handles itself.
 #[derive(Clone)]
 pub enum Input<I> {
+    /// Polls an owner.
     Poll(usize),
+    /// A report arrives at an owner.
     Report { owner: usize, report: Report },
+    /// An open report is answered now, even if no orders are waiting.
     AnswerDue { owner: usize, agent: String, incarnation: Incarnation, sequence: u64 },
+    /// A batch arrives at the store.
     Commit { owner: usize, batch: u64, events: Vec<Event>, sent: Time },
+    /// The reply of the store to a batch arrives at the owner.
     Committed { owner: usize, batch: u64, sent: Time, fenced: bool },
+    /// The owner sends a batch again if the store has not replied.
     Retry { owner: usize, batch: u64 },
+    /// A new owner takes over the cell.
     TakeOver,
+    /// A caller submits the job with this index.
     Submit(usize),
+    /// A caller cancels the job with this index.
     Cancel(usize),
+    /// An input that the test handles itself.
     World(I),
 }
 
 impl<I> Input<I> {
-    /// Owner to which an input goes, as far as that matters to a pause of it.
+    /// Returns the owner that processes the input, if a pause of that owner delays the input.
     fn target(&self) -> Option<usize> {
         match self {
             Input::Poll(owner)
@@ -48,7 +58,7 @@
     }
 }
 
-/// An answer that arrives at a VM.
+/// Answer of an owner on its way to an agent.
 #[derive(Debug, Clone)]
 pub struct Answer {
     pub agent: String,
@@ -56,23 +66,30 @@
     pub orders: Orders,
 }
 
+/// Simulated store with the journal of the cell.
 #[derive(Default)]
 pub struct Store {
     journal: Journal,
+    /// End of the store's outage.
     pub down_until: Time,
+    /// End of a period in which commits are slow.
     pub slow_until: Time,
 }
 
-pub struct Ended {
+/// Result of a simulation run.
+pub struct RunResult {
     pub history: Vec<Observation>,
+    /// State after all committed events.
     pub end: CellState,
     pub ended_at: Time,
 }
 
-impl Ended {
+impl RunResult {
+    /// Checks the history against the lifecycle rules.
+    ///
     /// # Panics
     ///
-    /// Panics when the history breaks a rule.
+    /// Panics if the history violates a rule.
     pub fn check(&self, seed: u64) {
         if let Err((violation, detail)) = history::check(&self.history, &self.end) {
             panic!("seed {seed}: {violation:?} at {:?}: {detail}", self.ended_at);
@@ -80,29 +97,38 @@
     }
 }
 
+/// Durations and delays of a simulation run.
 #[derive(Debug, Clone, Copy)]
 pub struct Timing {
     pub settings: CellSettings,
-    /// From here messages arrive once and soon.
+    /// Time from which each message arrives exactly once and without a long delay.
     pub faults_end: Time,
-    pub give_up: Time,
-    /// Limits of the usual and of the late delays of messages, in milliseconds.
-    pub usual_ms: u64,
-    pub late_ms: u64,
-    /// One message in this many is late.
+    /// Time at which the run is aborted.
+    pub time_limit: Time,
+    /// Upper limit of the usual message delay.
+    pub max_delay_ms: u64,
+    /// Upper limit of the delay of late messages.
+    pub max_late_ms: u64,
+    /// Average number of messages of which one is late.
     pub late_one_in: u8,
 }
 
+/// State of the simulation.
 pub struct CellWorld<I> {
     pub now: Time,
     pub rng: Rng,
     timing: Timing,
+    /// Scheduled inputs, by time and number.
     inputs: BTreeMap<(Time, u64), Input<I>>,
-    count: u64,
+    /// Last number given to an input or a ticket.
+    last_number: u64,
     pub store: Store,
+    /// All owners so far; the last one is current.
     pub owners: Vec<Owner>,
     pub jobs: Vec<JobSpec>,
+    /// Indexes of jobs by the ticket of their submission.
     tickets: BTreeMap<u64, usize>,
+    /// Indexes of jobs whose submission was confirmed.
     promised: BTreeSet<usize>,
     pub history: Vec<Observation>,
 }
@@ -114,7 +140,7 @@
             rng,
             timing,
             inputs: BTreeMap::new(),
-            count: 0,
+            last_number: 0,
             store: Store::default(),
             owners: Vec::new(),
             jobs: Vec::new(),
@@ -124,16 +150,17 @@
         }
     }
 
-    /// Handles inputs up to the next one of the world; `None` when the schedule has ended.
+    /// Processes inputs until one is for the test, and returns that one; `None` at the end of the
+    /// run.
     pub fn next(&mut self) -> Option<I> {
         while !(self.now > self.timing.faults_end && self.is_done()
-            || self.now > self.timing.give_up)
+            || self.now > self.timing.time_limit)
         {
             let ((at, _), input) = self.inputs.pop_first()?;
             self.now = at;
             let paused_until = input.target().map(|owner| self.owners[owner].paused_until);
             match (paused_until.filter(|until| *until > at), input) {
-                (Some(until), input) => self.after(until - at, input),
+                (Some(until), input) => self.schedule(until - at, input),
                 (None, Input::World(input)) => return Some(input),
                 (None, input) => self.handle(input),
             }
@@ -141,48 +168,54 @@
         None
     }
 
-    pub fn end(self) -> Ended {
+    /// Returns the history and the final state.
+    pub fn end(self) -> RunResult {
         let end = self.store.journal.replay();
-        Ended { history: self.history, end, ended_at: self.now }
+        RunResult { history: self.history, end, ended_at: self.now }
     }
 
+    /// Adds a job and schedules its submission.
     pub fn add_job(&mut self, job: JobSpec, submit_at: Time) -> usize {
         self.jobs.push(job);
         let index = self.jobs.len() - 1;
-        self.after(submit_at, Input::Submit(index));
+        self.schedule(submit_at, Input::Submit(index));
         index
     }
 
-    pub fn after(&mut self, delay: Duration, input: Input<I>) {
-        self.count += 1;
-        self.inputs.insert((self.now + delay, self.count), input);
+    /// Schedules an input.
+    pub fn schedule(&mut self, delay: Duration, input: Input<I>) {
+        self.last_number += 1;
+        self.inputs.insert((self.now + delay, self.last_number), input);
     }
 
-    pub fn is_calm(&self) -> bool {
+    /// Tells whether the period with faults is over.
+    pub fn faults_ended(&self) -> bool {
         self.now >= self.timing.faults_end
     }
 
-    /// Index of the current owner.
+    /// Returns the index of the current owner.
     pub fn newest(&self) -> usize {
         self.owners.len() - 1
     }
 
-    /// Delivers a message: late, twice, overtaken or not at all while faults last.
+    /// Schedules the arrival of a message. While faults last, the message may be delayed,
+    /// reordered, duplicated or lost.
     pub fn deliver(&mut self, input: Input<I>) {
         let copies = match self.rng.u8(0..100) {
-            _ if self.is_calm() => 1,
+            _ if self.faults_ended() => 1,
             0..=4 => 0,
             5..=8 => 2,
             _ => 1,
         };
         for _ in 0..copies {
-            let late = !self.is_calm() && self.rng.u8(0..self.timing.late_one_in) == 0;
-            let limit = if late { self.timing.late_ms } else { self.timing.usual_ms };
+            let late = !self.faults_ended() && self.rng.u8(0..self.timing.late_one_in) == 0;
+            let limit = if late { self.timing.max_late_ms } else { self.timing.max_delay_ms };
             let delay = ms(self.rng.u64(1..limit));
-            self.after(delay, input.clone());
+            self.schedule(delay, input.clone());
         }
     }
 
+    /// Tells whether all jobs were confirmed and have ended, with all events committed.
     fn is_done(&self) -> bool {
         let Some(cell) = self.owners.last().and_then(|owner| owner.cell.as_ref()) else {
             return false;
@@ -193,24 +226,25 @@
             && self.jobs.iter().all(|job| ended(job) == Some(true))
     }
 
+    /// Processes one input.
     fn handle(&mut self, input: Input<I>) {
         match input {
             Input::Poll(owner) => self.poll(owner),
             Input::Report { owner, report } => self.report(owner, report),
             Input::AnswerDue { owner, agent, incarnation, sequence } => {
-                if self.owners[owner].is_held(&agent, incarnation, sequence) {
+                if self.owners[owner].is_pending(&agent, incarnation, sequence) {
                     self.answer(owner, &agent);
                 }
             }
             Input::Commit { owner, batch, events, sent } => self.write(owner, batch, events, sent),
             Input::Committed { owner, batch, sent, fenced } => {
-                if self.owners[owner].committed(batch, sent, fenced) {
-                    self.wake(owner);
+                if self.owners[owner].handle_commit(batch, sent, fenced) {
+                    self.release_effects(owner);
                     self.commit_if_idle(owner);
                 }
             }
             Input::Retry { owner, batch } => {
-                if self.owners[owner].batch == batch && self.owners[owner].busy {
+                if self.owners[owner].batch == batch && self.owners[owner].is_committing {
                     self.commit(owner);
                 }
             }
@@ -221,60 +255,67 @@
         }
     }
 
+    /// Starts a new owner, whose clock deviates by up to 1 percent, once the store is reachable.
     pub fn take_over(&mut self) {
         if self.now < self.store.down_until {
-            return self.after(ms(500), Input::TakeOver);
+            return self.schedule(ms(500), Input::TakeOver);
         }
-        let rate = 0.99 + 0.02 * self.rng.f64();
-        let (local, rng) = (self.now.mul_f64(rate), self.rng.fork());
+        let clock_rate = 0.99 + 0.02 * self.rng.f64();
+        let (local_time, rng) = (self.now.mul_f64(clock_rate), self.rng.fork());
         let settings = self.timing.settings;
-        let cell = self.store.journal.take_over(local, settings, rng, &mut self.history);
-        self.owners.push(Owner::new(cell, rate));
-        self.after(ms(100), Input::Poll(self.newest()));
+        let cell = self.store.journal.take_over(local_time, settings, rng, &mut self.history);
+        self.owners.push(Owner::new(cell, clock_rate));
+        self.schedule(ms(100), Input::Poll(self.newest()));
     }
 
-    fn local(&self, owner: usize) -> Time {
-        self.now.mul_f64(self.owners[owner].rate)
+    /// Returns the time by the clock of an owner.
+    fn local_time(&self, owner: usize) -> Time {
+        self.now.mul_f64(self.owners[owner].clock_rate)
     }
 
+    /// Tells whether an owner can reach the store now.
     fn reaches_store(&self, owner: usize) -> bool {
-        self.now >= self.store.down_until.max(self.owners[owner].cut_until)
+        self.now >= self.store.down_until.max(self.owners[owner].store_cut_until)
     }
 
+    /// Polls an owner, then commits and carries out what is due.
     fn poll(&mut self, owner: usize) {
-        let (local, reached) = (self.local(owner), self.reaches_store(owner));
+        let (local_time, reached) = (self.local_time(owner), self.reaches_store(owner));
         let is_current = owner == self.newest();
         if self.owners[owner].cell.is_none() {
             return;
         }
-        if self.owners[owner].poll(local, reached, is_current) {
-            self.after(ms(200), Input::Poll(owner));
+        if self.owners[owner].poll(local_time, reached, is_current) {
+            self.schedule(ms(200), Input::Poll(owner));
         }
         self.commit_if_idle(owner);
-        self.wake(owner);
+        self.release_effects(owner);
     }
 
+    /// Sends the next batch unless one is being committed.
     fn commit_if_idle(&mut self, owner: usize) {
-        if !self.owners[owner].busy {
+        if !self.owners[owner].is_committing {
             self.owners[owner].batch += 1;
             self.commit(owner);
         }
     }
 
+    /// Sends the owner's batch to the journal, and schedules a retry.
     fn commit(&mut self, owner: usize) {
-        let (sent, batch) = (self.local(owner), self.owners[owner].batch);
+        let (sent, batch) = (self.local_time(owner), self.owners[owner].batch);
         let Some(events) = self.owners[owner].take_batch() else { return };
         let commit = Input::Commit { owner, batch, events, sent };
         match self.now < self.store.slow_until {
             true => {
                 let delay = ms(self.rng.u64(500..4_000));
-                self.after(delay, commit);
+                self.schedule(delay, commit);
             }
             false => self.deliver(commit),
         }
-        self.after(ms(2_000), Input::Retry { owner, batch });
+        self.schedule(ms(2_000), Input::Retry { owner, batch });
     }
 
+    /// Processes a batch that has reached the journal.
     fn write(&mut self, owner: usize, batch: u64, events: Vec<Event>, sent: Time) {
         if !self.reaches_store(owner) {
             return;
@@ -285,8 +326,8 @@
         self.deliver(Input::Committed { owner, batch, sent, fenced });
     }
 
-    /// Releases the effects of what is committed.
-    fn wake(&mut self, owner: usize) {
+    /// Carries out the effects whose events are committed.
+    fn release_effects(&mut self, owner: usize) {
         let Some(cell) = &mut self.owners[owner].cell else { return };
         for effect in cell.take_effects() {
             match effect {
@@ -301,20 +342,22 @@
         }
     }
 
+    /// Answers the open report of an agent if orders wait for it.
     fn answer_if_due(&mut self, owner: usize, agent: &str) {
-        if self.owners[owner].has_orders(self.local(owner), agent) {
+        if self.owners[owner].has_orders(self.local_time(owner), agent) {
             self.answer(owner, agent);
         }
     }
 
+    /// Submits a job to the current owner, and again every three seconds until it is confirmed.
     fn submit(&mut self, job: usize) {
         if self.promised.contains(&job) {
             return;
         }
         let owner = self.newest();
-        self.after(ms(3_000), Input::Submit(job));
-        self.count += 1;
-        let ticket = self.count;
+        self.schedule(ms(3_000), Input::Submit(job));
+        self.last_number += 1;
+        let ticket = self.last_number;
         let paused = self.owners[owner].paused_until > self.now;
         let Some(cell) = self.owners[owner].cell.as_mut().filter(|_| !paused) else { return };
         if cell.is_stopped() {
@@ -323,21 +366,27 @@
         let reply = cell.submit(self.jobs[job].clone(), ticket);
         assert!(matches!(reply, SubmitReply::Created | SubmitReply::Existing), "{reply:?}");
         self.tickets.insert(ticket, job);
-        self.wake(owner);
+        self.release_effects(owner);
     }
 
+    /// Cancels a job, and checks that another team cannot.
     pub fn cancel(&mut self, job: usize) {
         let Some(cell) = self.owners.last_mut().and_then(|owner| owner.cell.as_mut()) else {
             return;
         };
         let reply = cell.cancel(Some("team"), &self.jobs[job].id, u64::MAX);
         let other = cell.cancel(Some("other"), &self.jobs[job].id, u64::MAX);
-        assert_eq!(other, CancelReply::NotFound, "cancelled by another team: {reply:?}");
+        assert_eq!(
+            other,
+            CancelReply::NotFound,
+            "visible to another team; reply to the own team: {reply:?}"
+        );
     }
 
+    /// Passes a report to an owner, and answers it now if orders wait or else after one second.
     fn report(&mut self, owner: usize, report: Report) {
-        let local = self.local(owner);
-        if !self.owners[owner].hold(local, &report) {
+        let local_time = self.local_time(owner);
+        if !self.owners[owner].accept_report(local_time, &report) {
             return;
         }
         let Report { agent, incarnation, sequence, results, .. } = report;
@@ -349,12 +398,13 @@
         }));
         self.commit_if_idle(owner);
         self.answer_if_due(owner, &agent);
-        self.after(ms(1_000), Input::AnswerDue { owner, agent, incarnation, sequence });
+        self.schedule(ms(1_000), Input::AnswerDue { owner, agent, incarnation, sequence });
     }
 
+    /// Sends the answer to the open report of an agent.
     fn answer(&mut self, owner: usize, agent: &str) {
-        let local = self.local(owner);
-        let answered = self.owners[owner].answer(local, agent, &mut self.history);
+        let local_time = self.local_time(owner);
+        let answered = self.owners[owner].answer(local_time, agent, &mut self.history);
         let Some((incarnation, orders)) = answered else { return };
         let answer = Answer { agent: agent.to_owned(), incarnation, orders };
         self.deliver(Input::World(answer.into()));
--- a/crates/core/tests/support/owners.rs
+++ b/crates/core/tests/support/owners.rs
@@ -1,9 +1,9 @@
-//! Owners of a cell, and the journal that they share.
+//! Simulated owner processes of a cell, and the journal that they share.
 
 use std::collections::BTreeMap;
 
 use fastrand::Rng;
-use peridotfold_core::cell::{Cell, CellSettings, CellState, Event, Limits, Received};
+use peridotfold_core::cell::{Cell, CellSettings, CellState, Event, Limits, ReportStatus};
 use peridotfold_core::id::{Epoch, Incarnation};
 use peridotfold_core::message::report::{Orders, Report};
 use peridotfold_core::resources::Resources;
@@ -11,22 +11,25 @@
 
 use crate::history::Observation;
 
-/// Journal of the cell.
+/// Journal of the committed events of a cell, fenced by the epoch.
 #[derive(Default)]
 pub struct Journal {
     log: Vec<Event>,
+    /// Epoch of the current owner.
     pub epoch: Epoch,
-    last: (Epoch, u64),
+    /// Epoch and number of the last batch written.
+    last_batch: (Epoch, u64),
 }
 
 impl Journal {
+    /// Returns the state after all events of the journal.
     pub fn replay(&self) -> CellState {
         let mut state = CellState::default();
         self.log.iter().for_each(|event| state.apply(event));
         state
     }
 
-    /// Begins the next epoch. `now` is the time by the clock of its owner.
+    /// Begins the next epoch and returns its owner. `now` is the time by the owner's clock.
     pub fn take_over(
         &mut self,
         now: Time,
@@ -44,12 +47,13 @@
         });
         let events = cell.take_batch();
         self.append(events, history);
-        cell.note_commit();
+        cell.confirm_commit();
         cell
     }
 
-    /// Appends a batch of the owner of `epoch`. Tells whether that owner is fenced off, or nothing
-    /// for a delayed copy of an earlier batch, which fails the compare-and-swap.
+    /// Appends a batch of the owner of `epoch`. Tells whether that owner is fenced; `None` for a
+    /// delayed copy of an earlier batch, which fails the compare-and-swap. Repeating the last batch
+    /// has no effect.
     pub fn write(
         &mut self,
         epoch: Epoch,
@@ -57,56 +61,62 @@
         events: Vec<Event>,
         history: &mut Vec<Observation>,
     ) -> Option<bool> {
-        match (epoch == self.epoch, self.last) {
+        match (epoch == self.epoch, self.last_batch) {
             (false, _) => return Some(true),
-            (true, (last, newer)) if last == epoch && newer > batch => return None,
-            (true, last) if last == (epoch, batch) => {}
+            (true, (last_epoch, last_number)) if last_epoch == epoch && last_number > batch => {
+                return None
+            }
+            (true, last_batch) if last_batch == (epoch, batch) => {}
             (true, _) => {
-                self.last = (epoch, batch);
+                self.last_batch = (epoch, batch);
                 self.append(events, history);
             }
         }
         Some(false)
     }
 
+    /// Appends events to the journal and to the history.
     fn append(&mut self, events: Vec<Event>, history: &mut Vec<Observation>) {
         history.extend(events.iter().cloned().map(Observation::Committed));
         self.log.extend(events);
     }
 }
 
-/// An owner process.
+/// Owner process.
 pub struct Owner {
-    /// Absent once the process was killed.
+    /// `None` after the process was killed.
     pub cell: Option<Cell>,
-    pub rate: f64,
+    /// Speed of the owner's clock relative to true time.
+    pub clock_rate: f64,
+    /// Number of the last batch.
     pub batch: u64,
-    pub busy: bool,
-    /// Reports that wait for their answer.
-    held: BTreeMap<String, (Incarnation, u64)>,
+    /// Whether a batch was sent to the journal and not confirmed yet.
+    pub is_committing: bool,
+    /// Incarnation and sequence number of each agent's report that waits for an answer.
+    pending_reports: BTreeMap<String, (Incarnation, u64)>,
     pub paused_until: Time,
-    /// Cut off from the store.
-    pub cut_until: Time,
+    /// End of a network partition between the owner and the store.
+    pub store_cut_until: Time,
 }
 
 impl Owner {
-    pub fn new(cell: Cell, rate: f64) -> Self {
+    pub fn new(cell: Cell, clock_rate: f64) -> Self {
         Owner {
             cell: Some(cell),
-            rate,
+            clock_rate,
             batch: 0,
-            busy: false,
-            held: BTreeMap::new(),
+            is_committing: false,
+            pending_reports: BTreeMap::new(),
             paused_until: Time::ZERO,
-            cut_until: Time::ZERO,
+            store_cut_until: Time::ZERO,
         }
     }
 
-    /// Polls the cell; tells whether it is to be polled again.
+    /// Polls the cell. Tells whether to poll it again.
     pub fn poll(&mut self, now: Time, reaches_store: bool, is_current: bool) -> bool {
         let Some(cell) = &mut self.cell else { return false };
         match reaches_store {
-            true if is_current => cell.note_store(now),
+            true if is_current => cell.record_store_contact(now),
             true => cell.stop(),
             false => {}
         }
@@ -114,54 +124,56 @@
         !cell.is_stopped() || is_current
     }
 
-    /// Takes the batch to write, a new one or the one whose commit is open.
+    /// Returns the batch to write: a new one, or the one whose commit is not confirmed yet.
     pub fn take_batch(&mut self) -> Option<Vec<Event>> {
         let events = self.cell.as_mut()?.take_batch();
-        self.busy = !events.is_empty();
-        self.busy.then_some(events)
+        self.is_committing = !events.is_empty();
+        self.is_committing.then_some(events)
     }
 
-    /// Takes the answer of the journal; tells whether the batch is committed.
-    pub fn committed(&mut self, batch: u64, sent: Time, fenced: bool) -> bool {
-        let is_open = self.busy && self.batch == batch;
+    /// Processes the journal's reply to a batch. Tells whether the batch is now committed.
+    pub fn handle_commit(&mut self, batch: u64, sent: Time, fenced: bool) -> bool {
+        let is_open = self.is_committing && self.batch == batch;
         let Some(cell) = self.cell.as_mut().filter(|_| is_open) else { return false };
         if fenced {
             cell.stop();
             return false;
         }
-        cell.note_store(sent);
-        cell.note_commit();
-        self.busy = false;
+        cell.record_store_contact(sent);
+        cell.confirm_commit();
+        self.is_committing = false;
         true
     }
 
-    /// Takes a report and holds it; tells whether it counts.
-    pub fn hold(&mut self, now: Time, report: &Report) -> bool {
+    /// Processes a report, and keeps it open for an answer. Tells whether the report was accepted.
+    pub fn accept_report(&mut self, now: Time, report: &Report) -> bool {
         let Some(cell) = &mut self.cell else { return false };
-        if cell.report(now, report) != Received::Accepted {
+        if cell.report(now, report) != ReportStatus::Accepted {
             return false;
         }
-        self.held.insert(report.agent.clone(), (report.incarnation, report.sequence));
+        self.pending_reports.insert(report.agent.clone(), (report.incarnation, report.sequence));
         true
     }
 
-    pub fn is_held(&self, agent: &str, incarnation: Incarnation, sequence: u64) -> bool {
-        self.held.get(agent) == Some(&(incarnation, sequence))
+    /// Tells whether this report of the agent still waits for an answer.
+    pub fn is_pending(&self, agent: &str, incarnation: Incarnation, sequence: u64) -> bool {
+        self.pending_reports.get(agent) == Some(&(incarnation, sequence))
     }
 
-    /// Answers the held report of an agent.
+    /// Answers the open report of an agent.
     pub fn answer(
         &mut self,
         now: Time,
         agent: &str,
         history: &mut Vec<Observation>,
     ) -> Option<(Incarnation, Orders)> {
-        let (incarnation, sequence) = self.held.remove(agent)?;
+        let (incarnation, sequence) = self.pending_reports.remove(agent)?;
         let orders = self.cell.as_mut()?.answer(now, agent, incarnation, sequence)?;
         history.extend(orders.acknowledged.iter().cloned().map(Observation::Acknowledged));
         Some((incarnation, orders))
     }
 
+    /// Tells whether the agent's open report has to be answered at once.
     pub fn has_orders(&self, now: Time, agent: &str) -> bool {
         self.cell.as_ref().is_some_and(|cell| cell.has_orders(now, agent))
     }
--- a/crates/core/tests/support/world.rs
+++ b/crates/core/tests/support/world.rs
@@ -11,7 +11,7 @@
 use peridotfold_core::resources::Resources;
 use peridotfold_core::time::Time;
 
-use crate::cell_world::{ms, Answer, CellWorld, Ended, Input, Timing};
+use crate::cell_world::{ms, Answer, CellWorld, Input, RunResult, Timing};
 use crate::schedules;
 use crate::vm::Vm;
 
@@ -22,9 +22,9 @@
     Timing {
         settings: CellSettings { outage_hold, ..CellSettings::default() },
         faults_end: FAULTS_END,
-        give_up: Duration::from_secs(1_500),
-        usual_ms: 100,
-        late_ms: 30_000,
+        time_limit: Duration::from_secs(1_500),
+        max_delay_ms: 100,
+        max_late_ms: 30_000,
         late_one_in: 50,
     }
 }
@@ -95,7 +95,7 @@
 
 /// Result of one simulated schedule.
 pub struct RunOutcome {
-    pub outcome: Ended,
+    pub outcome: RunResult,
     /// Jobs that can complete: they do not always fail, and fit on a VM.
     pub valid_jobs: BTreeSet<String>,
     pub faulty_vms: usize,
@@ -130,13 +130,13 @@
         }
         for _ in 0..world.cell.rng.u64(2..12) {
             let at = world.cell.rng.u64(1_000..FAULTS_END.as_millis() as u64);
-            world.after(ms(at), WorldInput::Fault);
+            world.schedule(ms(at), WorldInput::Fault);
         }
         world
     }
 
-    fn after(&mut self, delay: Duration, input: WorldInput) {
-        self.cell.after(delay, Input::World(input));
+    fn schedule(&mut self, delay: Duration, input: WorldInput) {
+        self.cell.schedule(delay, Input::World(input));
     }
 
     fn add_vms(&mut self) {
@@ -174,7 +174,7 @@
             cell.add_job(spec, ms(at));
             if cell.rng.u8(0..4) == 0 {
                 let at = cell.rng.u64(at..50_000);
-                cell.after(ms(at), Input::Cancel(index));
+                cell.schedule(ms(at), Input::Cancel(index));
             }
         }
     }
@@ -214,39 +214,39 @@
             Fault::CutVm => {
                 self.vms[vm].is_cut_off = true;
                 let delay = self.cell.rng.u64(1_000..50_000);
-                self.after(ms(delay), WorldInput::Reconnect(vm));
+                self.schedule(ms(delay), WorldInput::Reconnect(vm));
             }
             Fault::KillAgent => {
                 self.vms[vm].agent = None;
                 let delay = self.cell.rng.u64(100..30_000);
-                self.after(ms(delay), WorldInput::Boot(vm));
+                self.schedule(ms(delay), WorldInput::Boot(vm));
             }
             Fault::FreezeAgent => {
                 if let Some(agent) = &mut self.vms[vm].agent {
                     agent.frozen = true;
                     let delay = self.cell.rng.u64(100..40_000);
-                    self.after(ms(delay), WorldInput::Unfreeze(vm));
+                    self.schedule(ms(delay), WorldInput::Unfreeze(vm));
                 }
             }
             Fault::ReplaceVm => {
                 self.vms[vm].replace(&mut self.cell.history);
                 let delay = self.cell.rng.u64(100..30_000);
-                self.after(ms(delay), WorldInput::Boot(vm));
+                self.schedule(ms(delay), WorldInput::Boot(vm));
             }
             Fault::KillOwner => {
                 self.cell.owners[owner].cell = None;
-                self.cell.after(ms(6_000), Input::TakeOver);
+                self.cell.schedule(ms(6_000), Input::TakeOver);
             }
             Fault::CutOwner => {
-                self.cell.after(ms(6_000), Input::TakeOver);
+                self.cell.schedule(ms(6_000), Input::TakeOver);
                 let delay = self.cell.rng.u64(1_000..120_000);
-                self.cell.owners[owner].cut_until = now + ms(delay);
+                self.cell.owners[owner].store_cut_until = now + ms(delay);
             }
             Fault::ReleaseOwner => {
                 if let Some(cell) = &mut self.cell.owners[owner].cell {
                     cell.release();
                 }
-                self.cell.after(ms(2_000), Input::TakeOver);
+                self.cell.schedule(ms(2_000), Input::TakeOver);
             }
             Fault::StoreDown => {
                 let delay = self.cell.rng.u64(1_000..50_000);
@@ -257,7 +257,7 @@
                 self.vms[vm].evict(now, false, &mut self.cell.history);
                 if let Some(agent) = &mut self.vms[vm].agent {
                     agent.leaving = true;
-                    self.after(ms(10_000), WorldInput::StopDraining(vm));
+                    self.schedule(ms(10_000), WorldInput::StopDraining(vm));
                 }
             }
             Fault::CancelHalf => {
@@ -278,13 +278,13 @@
     fn send_next(&mut self, vm: usize, delay: Duration) {
         if let Some(agent) = &self.vms[vm].agent {
             let (incarnation, sequence) = (agent.incarnation, agent.sequence);
-            self.after(delay, WorldInput::SendReport { vm, incarnation, sequence });
+            self.schedule(delay, WorldInput::SendReport { vm, incarnation, sequence });
         }
     }
 
     fn send(&mut self, vm: usize, incarnation: Incarnation, sequence: u64) {
         let newest = self.cell.newest();
-        let keeps_owner = !self.cell.is_calm() && self.cell.rng.u8(0..4) > 0;
+        let keeps_owner = !self.cell.faults_ended() && self.cell.rng.u8(0..4) > 0;
         let Some(agent) = &mut self.vms[vm].agent else { return };
         if agent.frozen || (agent.incarnation, agent.sequence) != (incarnation, sequence) {
             return;
@@ -324,7 +324,7 @@
     /// Schedules the next end of a task on a VM.
     fn schedule_advance(&mut self, vm: usize) {
         if let Some(at) = self.vms[vm].next_end_time() {
-            self.after(at.saturating_sub(self.cell.now), WorldInput::AdvanceVm(vm));
+            self.schedule(at.saturating_sub(self.cell.now), WorldInput::AdvanceVm(vm));
         }
     }
 
--- a/crates/core/tests/tasks/schedules.rs
+++ b/crates/core/tests/tasks/schedules.rs
@@ -6,7 +6,7 @@
 use fastrand::Rng;
 use peridotfold_core::message::report::{AttemptId, Orders, Report, Token};
 
-use crate::machine::{Machine, FaultRates};
+use crate::machine::{FaultRates, Machine};
 use crate::model_owner::{ModelOwner, LEASE};
 use crate::support;
 
@@ -19,7 +19,8 @@
 const VMS: usize = 2;
 const TASKS: usize = 6;
 const REPORT_TIMEOUT: Duration = Duration::from_millis(1_500);
-const ODDS: FaultRates = FaultRates { skipped_cycle: 5, delayed_list: 20, not_sent: 4, late: 8, lost_reply: 4 };
+const ODDS: FaultRates =
+    FaultRates { skipped_cycle: 5, delayed_list: 20, not_sent: 4, late: 8, lost_reply: 4 };
 
 /// Messages between an agent and the owner.
 #[derive(Default)]
