--- a/crates/bench/src/requests/choice.rs
+++ b/crates/bench/src/requests/choice.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use peridotfold_core::id::{AgentId, Incarnation};
-use peridotfold_core::routing::{Table, Target};
+use peridotfold_core::routing::{Target, UpstreamTable};
 use peridotfold_core::time::Time;
 
 use super::instance::SERVICE;
@@ -67,7 +67,7 @@
     pub fn choose(
         &mut self,
         now: Time,
-        table: &Table,
+        table: &UpstreamTable,
         tried: &[AgentId],
         rng: &mut fastrand::Rng,
     ) -> Option<Target> {
--- a/crates/bench/src/requests/simulation.rs
+++ b/crates/bench/src/requests/simulation.rs
@@ -6,10 +6,10 @@
 
 use peridotfold_core::admission::{Action, Ending, Offer};
 use peridotfold_core::id::AgentId;
-use peridotfold_core::membership::{EntryRecord, Members, HEARTBEAT};
+use peridotfold_core::membership::{EntryRecord, Members, HEARTBEAT_INTERVAL};
 use peridotfold_core::message::announce::Announce;
 use peridotfold_core::message::request::{CancelReply, RefuseReason, RequestId};
-use peridotfold_core::routing::{Feedback, RetryBudget, Table, Target};
+use peridotfold_core::routing::{Feedback, RetryBudget, Target, UpstreamTable};
 use peridotfold_core::time::Time;
 
 use super::choice::{Chooser, Policy};
@@ -82,7 +82,7 @@
 
 #[derive(Debug)]
 struct Entry {
-    table: Table,
+    table: UpstreamTable,
     budget: RetryBudget,
     chooser: Chooser,
     members: Members,
@@ -127,7 +127,7 @@
         let instances: Vec<_> = (0..INSTANCES).map(|index| Instance::new(index, 1)).collect();
         let agents: Vec<_> = instances.iter().map(|instance| instance.agent.clone()).collect();
         let entry = |index: usize| Entry {
-            table: Table::default(),
+            table: UpstreamTable::default(),
             budget: RetryBudget::default(),
             chooser: Chooser::new(policy, agents.clone(), index * INSTANCES / ENTRIES),
             members: Members::new(Duration::from_secs(6)),
@@ -397,7 +397,7 @@
         let Some((target, id, _)) = state.current.take() else { return };
         self.by_id.remove(&id);
         let entry = &mut self.entries[state.entry];
-        entry.table.learn(self.now, &target, SERVICE, feedback);
+        entry.table.record_feedback(self.now, &target, SERVICE, feedback);
         entry.table.end(&target, SERVICE);
         entry.chooser.end(&target.agent);
         state.tried.push(target.agent);
@@ -459,7 +459,7 @@
             self.entries[index].members.observe(self.now, records);
         }
         if self.now < END {
-            self.schedule(HEARTBEAT, Event::List { entry: index });
+            self.schedule(HEARTBEAT_INTERVAL, Event::List { entry: index });
         }
     }
 
--- a/crates/bench/src/scale/entry.rs
+++ b/crates/bench/src/scale/entry.rs
@@ -7,7 +7,7 @@
 use peridotfold_core::message::announce::{
     AgentState, Announce, AnnounceReply, CellOwner, ConfigUpdate, EntryAddress, ServiceLoad,
 };
-use peridotfold_core::routing::Table;
+use peridotfold_core::routing::UpstreamTable;
 use peridotfold_core::time::Time;
 
 use super::{encoded, grown, mean, SIZES};
@@ -71,8 +71,8 @@
     }
 }
 
-fn table(upstreams: usize) -> Table {
-    let mut table = Table::default();
+fn table(upstreams: usize) -> UpstreamTable {
+    let mut table = UpstreamTable::default();
     for index in 0..upstreams {
         table.announce(Time::from_secs(1), announce(index, 1));
     }
--- a/crates/core/src/key_table.rs
+++ b/crates/core/src/key_table.rs
@@ -21,7 +21,7 @@
 
 /// Keys in one page of the table: about 2.5 KB. A node has 4 KB/s for control, and one page is
 /// asked for each second.
-pub const TABLE_PAGE: usize = 128;
+pub const PAGE_LIMIT: usize = 128;
 
 /// A whole response.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -129,8 +129,8 @@
         let mut keys: Vec<_> =
             keys.filter(|key| after.is_none_or(|after| key.hash > after)).collect();
         keys.sort_unstable();
-        let more = keys.len() > TABLE_PAGE;
-        keys.truncate(TABLE_PAGE);
+        let more = keys.len() > PAGE_LIMIT;
+        keys.truncate(PAGE_LIMIT);
         (keys, more)
     }
 
--- a/crates/core/src/keys.rs
+++ b/crates/core/src/keys.rs
@@ -19,7 +19,7 @@
 use crate::id::{AgentId, EntryId, Incarnation};
 
 pub use dispatch::{DispatchTable, Dispatched};
-pub use gate::{Decision, Gate, ProbeResult};
+pub use gate::{Decision, KeyGate, ProbeResult};
 pub use plan::Planner;
 
 /// Buckets of each service.
@@ -28,15 +28,15 @@
 pub const RETENTION: Duration = Duration::from_secs(10 * 60);
 
 /// Age of the list of entries up to which a key may be reported as not run.
-pub const LIST_LIMIT: Duration = Duration::from_secs(6);
+pub const LIST_AGE_LIMIT: Duration = Duration::from_secs(6);
 /// Time for which an entry with a new name dispatches no keys, so that each list that is recent
 /// enough for a `not run` names it. Longer than [`LIST_LIMIT`] by the time limits of the store's
 /// calls and of probes, and by clock rates.
-pub const JOIN_WAIT: Duration = Duration::from_secs(8);
+pub const JOIN_DELAY: Duration = Duration::from_secs(8);
 
 /// Time for which an entry holds back the acknowledgement of a move until another entry has its
 /// list. Bounds the delay of a move when no other entry can fetch it.
-pub const COPY_LIMIT: Duration = Duration::from_secs(1);
+pub const LIST_COPY_LIMIT: Duration = Duration::from_secs(1);
 
 /// Index of a bucket.
 pub type BucketIndex = usize;
--- a/crates/core/src/keys/gate.rs
+++ b/crates/core/src/keys/gate.rs
@@ -9,8 +9,8 @@
 use crate::keys::inherited::{self, Base, Earlier, Inherited};
 use crate::keys::lists::{self, KeyHash, Lists};
 use crate::keys::{
-    bucket_of, DispatchTable, Dispatched, Generation, Holder, KeyMap, Phase, Witness, COPY_LIMIT,
-    JOIN_WAIT, LIST_LIMIT, RETENTION,
+    bucket_of, DispatchTable, Dispatched, Generation, Holder, KeyMap, Phase, Witness, JOIN_DELAY,
+    LIST_AGE_LIMIT, LIST_COPY_LIMIT, RETENTION,
 };
 use crate::message::entry::{KeyListReply, KeyListRequest, ProbeReply, TableKey};
 use crate::time::{self, Time};
@@ -55,7 +55,7 @@
 
 /// Key maps and dispatched keys of an entry.
 #[derive(Debug)]
-pub struct Gate {
+pub struct KeyGate {
     entry: EntryId,
     incarnation: Incarnation,
     outage_hold: Duration,
@@ -71,10 +71,10 @@
     inherited: Inherited,
 }
 
-impl Gate {
+impl KeyGate {
     /// Builds a gate that lets nothing pass until the first [`Gate::adopt`].
     pub fn new(entry: EntryId, incarnation: Incarnation, outage_hold: Duration) -> Self {
-        Gate {
+        KeyGate {
             entry,
             incarnation,
             outage_hold,
@@ -100,13 +100,13 @@
     }
 
     /// Notes that an earlier incarnation of this entry had joined.
-    pub fn set_known(&mut self) {
+    pub fn set_rejoined(&mut self) {
         self.known = true;
     }
 
     /// Tells whether the other entries know this one well enough for it to dispatch keys.
     pub fn is_joined(&self, now: Time) -> bool {
-        self.known || self.first.is_some_and(|first| now.saturating_sub(first) >= JOIN_WAIT)
+        self.known || self.first.is_some_and(|first| now.saturating_sub(first) >= JOIN_DELAY)
     }
 
     /// Takes over one key map that was read from the store, or written to it, after the heartbeat
@@ -143,7 +143,7 @@
 
     /// Returns the predecessor and the holders whose tables are to be read, with their services.
     /// Empty when all is taken over, or when a part of it is lost.
-    pub fn recover(&self) -> Option<(Incarnation, Vec<(ServiceId, Holder)>)> {
+    pub fn recovery_sources(&self) -> Option<(Incarnation, Vec<(ServiceId, Holder)>)> {
         let predecessor = self.inherited.pending().filter(|_| self.contact.is_some())?;
         let own = (self.entry.as_str(), self.incarnation);
         let mut holders = BTreeSet::new();
@@ -166,7 +166,7 @@
 
     /// Takes over the whole table of a holder, which refuses requests of the predecessor since
     /// before the table was read. Buckets whose older holders may have run more are left out.
-    pub fn inherit(&mut self, now: Time, service: &str, holder: &Holder, table: &[TableKey]) {
+    pub fn recover_from(&mut self, now: Time, service: &str, holder: &Holder, table: &[TableKey]) {
         let Some(adopted) = self.maps.get(service) else { return };
         if self.inherited.pending().is_none() {
             return;
@@ -227,7 +227,7 @@
     }
 
     /// Returns the moves of a service that have been open here for the whole retention.
-    pub fn settled(&self, now: Time, service: &str) -> Vec<Generation> {
+    pub fn expired_moves(&self, now: Time, service: &str) -> Vec<Generation> {
         let Some(adopted) = self.maps.get(service) else { return Vec::new() };
         let old = |at: &Time| now.saturating_sub(*at) >= time::lease_wait(RETENTION);
         let known = adopted.map.moves.keys();
@@ -315,7 +315,7 @@
     ///
     /// A list of a move does not clear a witness here: this entry may not know yet that the move
     /// is open, and the witness may have dispatched the key to the new holder.
-    pub fn confirm(
+    pub fn confirm_not_run(
         &self,
         now: Time,
         service: &str,
@@ -324,7 +324,7 @@
         results: &[ProbeResult],
     ) -> bool {
         let is_self = |w: &Witness| w.entry == self.entry && w.incarnation == self.incarnation;
-        let recent = listed.is_some_and(|at| now.saturating_sub(at) < LIST_LIMIT);
+        let recent = listed.is_some_and(|at| now.saturating_sub(at) < LIST_AGE_LIMIT);
         let denies = |witness: &Witness| {
             results.iter().any(|(asked, reply)| match reply {
                 Some(ProbeReply::NotDispatched { entry, incarnation }) => {
@@ -364,8 +364,8 @@
 
     /// Lists what is lacking of the lists of the moves that matter, to be fetched from the witness
     /// itself or from another entry that holds its list.
-    pub fn lacking(&self, now: Time) -> Vec<KeyListRequest> {
-        let mut lacking = Vec::new();
+    pub fn missing(&self, now: Time) -> Vec<KeyListRequest> {
+        let mut missing = Vec::new();
         for (service, adopted) in &self.maps {
             for (generation, witnesses) in &adopted.map.moves {
                 let opened = adopted.opened.get(generation).copied().unwrap_or(now);
@@ -382,13 +382,13 @@
                         buckets,
                         after: None,
                     });
-                lacking.extend(requests.filter(|request| {
+                missing.extend(requests.filter(|request| {
                     let own = (&request.entry, request.incarnation);
                     own != (&self.entry, self.incarnation) && !self.lists.holds(request)
                 }));
             }
         }
-        lacking
+        missing
     }
 
     /// Answers a request for a list.
@@ -415,7 +415,7 @@
     }
 
     /// Keeps a whole list.
-    pub fn keep_list(&mut self, request: &KeyListRequest, keys: BTreeSet<KeyHash>) {
+    pub fn store_list(&mut self, request: &KeyListRequest, keys: BTreeSet<KeyHash>) {
         let map = self.maps.get(&request.service).map(|adopted| &adopted.map);
         if map.is_some_and(|map| map.moves.contains_key(&request.generation)) {
             self.lists.insert(request, keys);
@@ -517,7 +517,7 @@
             .iter()
             .any(|w| w.entry == entry && w.incarnation == incarnation && w.complete)
             && witnesses.iter().any(|w| w.entry != entry);
-        let waited = now.saturating_sub(self.since) >= COPY_LIMIT;
+        let waited = now.saturating_sub(self.since) >= LIST_COPY_LIMIT;
         match !listed || self.copied >= generation || waited {
             true => generation,
             false => self.acknowledged,
--- a/crates/core/src/keys/plan.rs
+++ b/crates/core/src/keys/plan.rs
@@ -27,7 +27,7 @@
 /// `map` has to be read from the store before `records` are listed: an entry that is not among the
 /// records then reads this map, or a later one, before it dispatches anything.
 #[derive(Debug)]
-pub struct View<'a> {
+pub struct ServiceView<'a> {
     pub service: &'a str,
     pub map: &'a KeyMap,
     /// Holders that take new work, in a stable order.
@@ -37,7 +37,7 @@
     /// Records of all entries, with the time since their last heartbeat.
     pub records: &'a [(EntryRecord, Duration)],
     /// Moves that have been open for the whole retention.
-    pub settled: &'a [Generation],
+    pub expired_moves: &'a [Generation],
 }
 
 /// Plans the moves of buckets as seen by one entry.
@@ -52,7 +52,7 @@
 
 /// Returns the entry that moves the buckets of `service`. Entries that disagree about who is
 /// alive may both try; the compare-and-swap on the map lets one of them win.
-pub fn mover<'a>(service: &str, alive: &'a [EntryView]) -> Option<&'a EntryView> {
+pub fn coordinator<'a>(service: &str, alive: &'a [EntryView]) -> Option<&'a EntryView> {
     alive.iter().max_by_key(|view| hash::rendezvous(service.as_bytes(), view.entry.as_bytes()))
 }
 
@@ -69,7 +69,7 @@
 
     /// Returns the next map, to be written by compare-and-swap, or `None` when nothing is to do.
     /// [`Planner::watch`] has to be called with the same view before.
-    pub fn plan(&mut self, now: Time, view: &View<'_>) -> Option<KeyMap> {
+    pub fn plan(&mut self, now: Time, view: &ServiceView<'_>) -> Option<KeyMap> {
         if view.map.buckets.is_empty() {
             return self.assign(now, view);
         }
@@ -78,7 +78,7 @@
         let changed = match gone.is_empty() || view.live.is_empty() {
             false => begin_moves(&mut map, view, &gone, witnesses(self.outage_hold, view.records)),
             true if map.is_moving() => self.open_moves(&mut map, view),
-            true => settle(&mut map, view.settled),
+            true => settle(&mut map, view.expired_moves),
         };
         map.drop_unused();
         changed.then_some(map)
@@ -87,7 +87,7 @@
     /// Updates the times since which holders are missing and services have upstreams. Called in
     /// each round, also by entries that do not move the service's buckets, since they may have to
     /// later.
-    pub fn watch(&mut self, now: Time, view: &View<'_>) {
+    pub fn track_holders(&mut self, now: Time, view: &ServiceView<'_>) {
         match view.live.is_empty() {
             true => self.first.remove(view.service),
             false => Some(*self.first.entry(view.service.to_owned()).or_insert(now)),
@@ -109,7 +109,7 @@
         }
     }
 
-    fn assign(&self, now: Time, view: &View<'_>) -> Option<KeyMap> {
+    fn assign(&self, now: Time, view: &ServiceView<'_>) -> Option<KeyMap> {
         let first = self.first.get(view.service)?;
         if now.saturating_sub(*first) < FIRST_GRACE {
             return None;
@@ -125,7 +125,7 @@
         Some(KeyMap { generation, buckets, moves: Default::default() })
     }
 
-    fn gone(&self, now: Time, view: &View<'_>) -> Vec<BucketIndex> {
+    fn gone(&self, now: Time, view: &ServiceView<'_>) -> Vec<BucketIndex> {
         let is_gone = |holder: &Holder| {
             let restarted = view.live.iter().any(|live| live.agent == holder.agent);
             let key = (view.service.to_owned(), holder.clone());
@@ -138,7 +138,7 @@
         buckets.filter(|(_, bucket)| is_gone(&bucket.holder)).map(|(index, _)| index).collect()
     }
 
-    fn open_moves(&self, map: &mut KeyMap, view: &View<'_>) -> bool {
+    fn open_moves(&self, map: &mut KeyMap, view: &ServiceView<'_>) -> bool {
         let mut changed = false;
         for bucket in map.buckets.iter_mut().filter(|bucket| bucket.phase == Phase::Moving) {
             let generation = bucket.generation;
@@ -160,7 +160,7 @@
     /// Tells whether an entry certainly no longer dispatches to the holders before `generation`.
     fn acknowledged(
         &self,
-        view: &View<'_>,
+        view: &ServiceView<'_>,
         record: &EntryRecord,
         silent: Duration,
         generation: Generation,
@@ -215,7 +215,7 @@
 
 fn begin_moves(
     map: &mut KeyMap,
-    view: &View<'_>,
+    view: &ServiceView<'_>,
     gone: &[BucketIndex],
     witnesses: Vec<Witness>,
 ) -> bool {
@@ -230,13 +230,13 @@
     true
 }
 
-fn settle(map: &mut KeyMap, settled: &[Generation]) -> bool {
+fn settle(map: &mut KeyMap, expired_moves: &[Generation]) -> bool {
     let before = map.moves.len();
-    map.moves.retain(|generation, _| !settled.contains(generation));
+    map.moves.retain(|generation, _| !expired_moves.contains(generation));
     map.moves.len() != before
 }
 
-fn target(view: &View<'_>, index: BucketIndex) -> Option<Holder> {
+fn target(view: &ServiceView<'_>, index: BucketIndex) -> Option<Holder> {
     let key = format!("{}/{index}", view.service);
     let weight = |holder: &&Holder| hash::rendezvous(key.as_bytes(), holder.agent.as_bytes());
     view.live.iter().max_by_key(weight).cloned()
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -9,10 +9,10 @@
 use crate::time::Time;
 
 /// Time between two heartbeats, and between two lists.
-pub const HEARTBEAT: Duration = Duration::from_secs(2);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 /// Time after which a failed heartbeat is tried again. With a whole period in between, a few short
 /// outages that each cover one heartbeat made an entry dead.
-pub const RETRY: Duration = Duration::from_millis(500);
+pub const HEARTBEAT_RETRY: Duration = Duration::from_millis(500);
 /// A longer time between two successful lists is an outage of the store and does not count.
 const GAP_LIMIT: Duration = Duration::from_secs(4);
 /// The record `entries/<id>` in the store.
@@ -63,13 +63,13 @@
 pub struct Members {
     dead_after: Duration,
     members: HashMap<EntryId, Member>,
-    listed: Option<Time>,
+    last_listed: Option<Time>,
 }
 
 impl Members {
     /// Builds an empty view.
     pub fn new(dead_after: Duration) -> Self {
-        Members { dead_after, members: HashMap::new(), listed: None }
+        Members { dead_after, members: HashMap::new(), last_listed: None }
     }
 
     /// Takes the records of a successful list.
@@ -77,9 +77,9 @@
     /// Lists are passed only after a successful heartbeat of the observer: when the store answers
     /// reads but no writes, all counters stand still and nobody is dead.
     pub fn observe(&mut self, now: Time, records: Vec<EntryRecord>) {
-        let gap = now.saturating_sub(self.listed.unwrap_or(now));
+        let gap = now.saturating_sub(self.last_listed.unwrap_or(now));
         let counted = if gap <= GAP_LIMIT { gap } else { Duration::ZERO };
-        self.listed = Some(now);
+        self.last_listed = Some(now);
         self.members.retain(|entry, _| records.iter().any(|record| record.entry == *entry));
         for record in records {
             match self.members.get_mut(&record.entry) {
@@ -117,8 +117,8 @@
     }
 
     /// Returns the time of the last successful list.
-    pub fn listed(&self) -> Option<Time> {
-        self.listed
+    pub fn last_listed(&self) -> Option<Time> {
+        self.last_listed
     }
 
     /// Returns the record of one entry.
--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -4,4 +4,4 @@
 pub mod table;
 
 pub use budget::RetryBudget;
-pub use table::{Feedback, Table, Target, UpstreamView};
+pub use table::{Feedback, Target, UpstreamTable, UpstreamView};
--- a/crates/core/src/routing/table.rs
+++ b/crates/core/src/routing/table.rs
@@ -112,12 +112,12 @@
 
 /// Upstreams known to an entry.
 #[derive(Debug, Default)]
-pub struct Table {
+pub struct UpstreamTable {
     upstreams: HashMap<AgentId, Upstream>,
     services: HashMap<ServiceId, Vec<AgentId>>,
 }
 
-impl Table {
+impl UpstreamTable {
     /// Takes an announcement that arrived at `now`, or, when it was relayed, that reached its
     /// first entry at `now`. Tells whether it was newer than what is known.
     pub fn announce(&mut self, now: Time, announce: Announce) -> bool {
@@ -171,9 +171,15 @@
     }
 
     /// Records the result of the request, as soon as it is known.
-    pub fn learn(&mut self, now: Time, target: &Target, service: &str, feedback: Feedback) {
+    pub fn record_feedback(
+        &mut self,
+        now: Time,
+        target: &Target,
+        service: &str,
+        feedback: Feedback,
+    ) {
         if let Some(usage) = self.usage_mut(target, service) {
-            usage.learn(now, feedback);
+            usage.record_feedback(now, feedback);
         }
         if feedback == Feedback::Failed {
             self.eject(now, target, service);
@@ -423,7 +429,7 @@
         self.load = load.clone();
     }
 
-    fn learn(&mut self, now: Time, feedback: Feedback) {
+    fn record_feedback(&mut self, now: Time, feedback: Feedback) {
         match feedback {
             Feedback::Answered(latency) => {
                 let known = self.latency_at(now);
--- a/crates/core/tests/key_table.rs
+++ b/crates/core/tests/key_table.rs
@@ -10,7 +10,7 @@
 
 use bytes::Bytes;
 use peridotfold_core::key_table::{
-    Answer, Claim, KeyTable, Outcome, ANSWER_LIMIT, KEY_LIMIT, RETENTION, STORED_LIMIT, TABLE_PAGE,
+    Answer, Claim, KeyTable, Outcome, ANSWER_LIMIT, KEY_LIMIT, PAGE_LIMIT, RETENTION, STORED_LIMIT,
 };
 use peridotfold_core::keys::bucket_of;
 use peridotfold_core::keys::lists::hash_of;
@@ -158,7 +158,7 @@
     schedules::run(500, |seed| {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut table = KeyTable::default();
-        let count = rng.usize(0..TABLE_PAGE * 3);
+        let count = rng.usize(0..PAGE_LIMIT * 3);
         let mut expected = BTreeMap::new();
         for number in 0..count {
             let key = key(number);
@@ -172,7 +172,7 @@
         let (mut found, mut after) = (BTreeMap::new(), None);
         loop {
             let (keys, more) = table.page(after);
-            assert!(keys.len() <= TABLE_PAGE);
+            assert!(keys.len() <= PAGE_LIMIT);
             after = keys.last().map(|key| key.hash);
             found.extend(keys.iter().map(|k| (k.hash, (usize::from(k.bucket), k.running))));
             if !more {
--- a/crates/core/tests/keys_world/entry.rs
+++ b/crates/core/tests/keys_world/entry.rs
@@ -5,8 +5,8 @@
 
 use bytes::Bytes;
 use peridotfold_core::keys::gate::ProbeResult;
-use peridotfold_core::keys::plan::{mover, witnesses, View};
-use peridotfold_core::keys::{Decision, Gate, Holder, KeyMap, Planner, Witness, RETENTION};
+use peridotfold_core::keys::plan::{coordinator, witnesses, ServiceView};
+use peridotfold_core::keys::{Decision, Holder, KeyGate, KeyMap, Planner, Witness, RETENTION};
 use peridotfold_core::membership::{EntryRecord, Members};
 use peridotfold_core::message::entry::{KeyListReply, KeyListRequest};
 use peridotfold_core::time::lease_wait;
@@ -30,7 +30,7 @@
     pub reaches_store: bool,
     pub reaches_entries: bool,
     pub reaches: Vec<bool>,
-    pub gate: Gate,
+    pub gate: KeyGate,
     members: Members,
     /// Pages of lists that are not whole yet.
     pages: BTreeMap<(u64, String, u64), BTreeSet<u128>>,
@@ -47,7 +47,7 @@
     pub fn new(index: usize, incarnation: u64, now: Duration, agents: usize) -> Self {
         let name = format!("entry-{index}");
         Entry {
-            gate: Gate::new(name.clone(), incarnation, HOLD),
+            gate: KeyGate::new(name.clone(), incarnation, HOLD),
             name,
             incarnation,
             up: true,
@@ -105,7 +105,7 @@
     pub fn confirming(&self, now: Duration) -> (Option<Duration>, Vec<Witness>) {
         let records = self.members.records(now);
         let records: Vec<_> = records.map(|(record, age)| (record.clone(), age)).collect();
-        (self.members.listed(), witnesses(HOLD, &records))
+        (self.members.last_listed(), witnesses(HOLD, &records))
     }
 
     /// Takes one page of a list that another entry sent; keeps the list when it is whole.
@@ -116,13 +116,13 @@
         pages.extend(keys);
         if !more {
             let whole = self.pages.remove(&id).unwrap_or_default();
-            self.gate.keep_list(request, whole);
+            self.gate.store_list(request, whole);
         }
     }
 
     /// Returns the requests for the next pages.
     pub fn wanted(&self, now: Duration) -> Vec<KeyListRequest> {
-        let mut requests = self.gate.lacking(now);
+        let mut requests = self.gate.missing(now);
         for request in &mut requests {
             let id = (request.generation, request.entry.clone(), request.incarnation);
             request.after = self.pages.get(&id).and_then(|keys| keys.last().copied());
@@ -180,7 +180,7 @@
         if let Some((_, found)) = found.filter(|(_, r)| r.incarnation != self.incarnation) {
             self.predecessor = Some(found.incarnation);
             if found.joined {
-                self.gate.set_known();
+                self.gate.set_rejoined();
             }
             if found.complete {
                 self.gate.set_predecessor(found.incarnation);
@@ -208,19 +208,19 @@
     fn plan(&mut self, now: Duration, store: &mut Store, map: (u64, KeyMap), is_lost: bool) {
         let records: Vec<_> =
             self.members.records(now).map(|(record, silent)| (record.clone(), silent)).collect();
-        let settled = self.gate.settled(now, SERVICE);
+        let expired_moves = self.gate.expired_moves(now, SERVICE);
         let live = self.live(now);
-        let view = View {
+        let view = ServiceView {
             service: SERVICE,
             map: &map.1,
             live: &live,
             leaving: &self.leaving,
             records: &records,
-            settled: &settled,
+            expired_moves: &expired_moves,
         };
-        self.planner.watch(now, &view);
+        self.planner.track_holders(now, &view);
         let alive = self.members.alive();
-        if mover(SERVICE, &alive).is_none_or(|view| view.entry != self.name) {
+        if coordinator(SERVICE, &alive).is_none_or(|view| view.entry != self.name) {
             return;
         }
         let Some(next) = self.planner.plan(now, &view) else { return };
--- a/crates/core/tests/keys_world/recovery.rs
+++ b/crates/core/tests/keys_world/recovery.rs
@@ -139,7 +139,9 @@
     /// Lets a restarted entry read the table of a holder. The answer may be lost.
     pub fn recover(&mut self, entry: usize) {
         let asker = &mut self.entries[entry];
-        let Some((ended, holders)) = asker.gate.recover().filter(|_| asker.up) else { return };
+        let Some((ended, holders)) = asker.gate.recovery_sources().filter(|_| asker.up) else {
+            return;
+        };
         let Some((_, holder)) = self.rng.choice(holders) else { return };
         let agents = self.agents.iter_mut().enumerate();
         let mut present = agents.filter(|(_, agent)| agent.up && agent.holder == holder);
@@ -158,7 +160,7 @@
             })
             .collect();
         if self.rng.u32(0..5) > 0 {
-            asker.gate.inherit(self.now, SERVICE, &holder, &table);
+            asker.gate.recover_from(self.now, SERVICE, &holder, &table);
         }
     }
 
--- a/crates/core/tests/keys_world/world.rs
+++ b/crates/core/tests/keys_world/world.rs
@@ -179,9 +179,9 @@
         let (name, old) = (self.entries[victim].name.clone(), self.entries[victim].incarnation);
         let has_list = |world: &World| {
             let entry = &world.entries[other];
-            let lacking = entry.gate.lacking(world.now);
+            let missing = entry.gate.missing(world.now);
             entry.gate.map(SERVICE).is_some_and(|map| map.generation > generation)
-                && !lacking.iter().any(|r| r.entry == name && r.incarnation == old)
+                && !missing.iter().any(|r| r.entry == name && r.incarnation == old)
         };
         while !has_list(self) {
             self.step();
@@ -398,7 +398,7 @@
     fn confirm(&mut self, probing: Probing, name: &Bytes) {
         let Probing { entry, key, listed, witnesses, results, ran, before, .. } = probing;
         let gate = &self.entries[entry].gate;
-        if gate.confirm(self.now, SERVICE, name, (listed, &witnesses), &results) {
+        if gate.confirm_not_run(self.now, SERVICE, name, (listed, &witnesses), &results) {
             self.not_run += 1;
             assert!(!ran, "seed {}: {name:?} had run and is reported as not run", self.seed);
             self.keys[key].denied.extend(before);
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use peridotfold_core::membership::{EntryRecord, Members, HEARTBEAT, RETRY};
+use peridotfold_core::membership::{EntryRecord, Members, HEARTBEAT_INTERVAL, HEARTBEAT_RETRY};
 
 const SCHEDULES: u64 = 10_000;
 const DEAD_AFTER: Duration = Duration::from_secs(6);
@@ -71,11 +71,11 @@
         }
         for writer in &mut writers {
             if writer.killed.is_none() && now >= writer.next {
-                writer.next = now + if writes { HEARTBEAT } else { RETRY };
+                writer.next = now + if writes { HEARTBEAT_INTERVAL } else { HEARTBEAT_RETRY };
                 writer.record.counter += u64::from(writes);
             }
         }
-        if now < listed + HEARTBEAT || !reads || !writes {
+        if now < listed + HEARTBEAT_INTERVAL || !reads || !writes {
             continue;
         }
         listed = now;
@@ -86,9 +86,10 @@
             let alive = members.alive().iter().any(|view| view.entry == writer.record.entry);
             match writer.killed {
                 None => assert!(alive, "seed {seed}: entry {index} is alive at {now:?}"),
-                Some(killed) if now > killed + HEARTBEAT + gap => {
-                    counted[index] += if gap <= HEARTBEAT * 2 { gap } else { Duration::ZERO };
-                    let late = counted[index] > DEAD_AFTER + HEARTBEAT * 2;
+                Some(killed) if now > killed + HEARTBEAT_INTERVAL + gap => {
+                    counted[index] +=
+                        if gap <= HEARTBEAT_INTERVAL * 2 { gap } else { Duration::ZERO };
+                    let late = counted[index] > DEAD_AFTER + HEARTBEAT_INTERVAL * 2;
                     assert!(!(alive && late), "seed {seed}: entry {index} is dead at {now:?}");
                 }
                 Some(_) => {}
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use peridotfold_core::message::announce::{AgentState, Announce, ServiceLoad};
-use peridotfold_core::routing::{Feedback, RetryBudget, Table, Target};
+use peridotfold_core::routing::{Feedback, RetryBudget, Target, UpstreamTable};
 
 const SCHEDULES: u64 = 10_000;
 const AGENTS: usize = 5;
@@ -67,7 +67,7 @@
     seed: u64,
     rng: fastrand::Rng,
     now: Duration,
-    table: Table,
+    table: UpstreamTable,
     models: Vec<Model>,
     budget: RetryBudget,
     first: u32,
@@ -83,7 +83,7 @@
             seed,
             rng: fastrand::Rng::with_seed(seed),
             now: Duration::ZERO,
-            table: Table::default(),
+            table: UpstreamTable::default(),
             models: (0..AGENTS).map(|_| Model::default()).collect(),
             budget: RetryBudget::default(),
             first: 0,
@@ -152,7 +152,7 @@
             self.check(&target, &tried);
             self.table.begin(&target, SERVICE);
             let feedback = self.feedback();
-            self.table.learn(self.now, &target, SERVICE, feedback);
+            self.table.record_feedback(self.now, &target, SERVICE, feedback);
             self.table.end(&target, SERVICE);
             if feedback == Feedback::Unreachable {
                 let model = &mut self.models[index_of(&target)];
@@ -194,7 +194,7 @@
 #[test]
 fn a_live_upstream_is_always_found() {
     let mut rng = fastrand::Rng::with_seed(1);
-    let mut table = Table::default();
+    let mut table = UpstreamTable::default();
     for agent in 0..200 {
         let state = if agent == 77 { AgentState::Ready } else { AgentState::Leaving };
         table.announce(Duration::ZERO, announce(agent, 1, 1, state));
@@ -210,7 +210,7 @@
 /// `slow` times as long and fails a part of its requests at once.
 fn p99(seed: u64, slow: u64, failing: bool) -> (Duration, u32) {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let mut table = Table::default();
+    let mut table = UpstreamTable::default();
     let mut running: Vec<(Duration, Duration, Target, bool)> = Vec::new();
     let mut latencies = Vec::new();
     let mut failures = 0;
@@ -226,7 +226,7 @@
         running = rest;
         for (end, begun, target, failed) in ended {
             let feedback = if failed { Feedback::Failed } else { Feedback::Answered(end - begun) };
-            table.learn(now, &target, SERVICE, feedback);
+            table.record_feedback(now, &target, SERVICE, feedback);
             table.end(&target, SERVICE);
             latencies.push(end - begun);
             failures += u32::from(failed);
@@ -268,7 +268,7 @@
 fn only_failing_upstreams_are_ejected_and_at_most_half() {
     for failing in 1..=AGENTS {
         for feedback in [Feedback::Failed, Feedback::Refused] {
-            let mut table = Table::default();
+            let mut table = UpstreamTable::default();
             for agent in 0..AGENTS {
                 table.announce(Duration::ZERO, announce(agent, 1, 1, AgentState::Ready));
             }
@@ -285,7 +285,7 @@
                     true => feedback,
                     false => Feedback::Answered(Duration::from_millis(10)),
                 };
-                table.learn(now, &target, SERVICE, outcome);
+                table.record_feedback(now, &target, SERVICE, outcome);
                 chosen[index] += u32::from(number >= 2_000);
             }
             // Cost alone keeps a failing upstream idle while others answer.
--- a/crates/entry/src/context.rs
+++ b/crates/entry/src/context.rs
@@ -8,11 +8,11 @@
 use parking_lot::{Mutex, RwLock};
 use peridotfold_core::config::{ConfigState, Document};
 use peridotfold_core::id::{ConfigVersion, Incarnation, RequestNumber};
-use peridotfold_core::keys::Gate;
+use peridotfold_core::keys::KeyGate;
 use peridotfold_core::membership::{EntryView, Members};
 use peridotfold_core::message::announce::{ConfigUpdate, EntryAddress};
 use peridotfold_core::message::request::RequestId;
-use peridotfold_core::routing::{RetryBudget, Table};
+use peridotfold_core::routing::{RetryBudget, UpstreamTable};
 use peridotfold_core::time::Time;
 use peridotfold_store::{ConfigRepository, Store};
 use peridotfold_wire::peer::Peers;
@@ -47,9 +47,9 @@
     /// `None` until a version was read from the store or from another entry.
     config: RwLock<Option<ConfigState>>,
     pub repository: RwLock<Option<Arc<ConfigRepository<S>>>>,
-    pub upstreams: Mutex<Table>,
+    pub upstreams: Mutex<UpstreamTable>,
     pub budget: Mutex<RetryBudget>,
-    pub keys: Mutex<Gate>,
+    pub keys: Mutex<KeyGate>,
     pub members: Mutex<Members>,
     pub relays: Mutex<Relays>,
     /// Highest configuration version that an agent has announced, and the agent's address.
@@ -78,7 +78,7 @@
         drained: Shutdown,
     ) -> Self {
         let incarnation = fastrand::u64(1..);
-        let gate = Gate::new(settings.id.clone(), incarnation, settings.outage_hold);
+        let gate = KeyGate::new(settings.id.clone(), incarnation, settings.outage_hold);
         Context {
             incarnation,
             http,
@@ -87,7 +87,7 @@
             cells: Cells::new(store.clone(), &settings, incarnation, internal),
             config: RwLock::new(None),
             repository: RwLock::new(None),
-            upstreams: Mutex::new(Table::default()),
+            upstreams: Mutex::new(UpstreamTable::default()),
             budget: Mutex::new(RetryBudget::default()),
             keys: Mutex::new(gate),
             members: Mutex::new(Members::new(settings.dead_after)),
--- a/crates/entry/src/internal.rs
+++ b/crates/entry/src/internal.rs
@@ -128,7 +128,7 @@
         }
         // The sender's own list is final now. Without this, an entry that had asked for it too
         // early waited up to 2 s for its next try, and the sender's death in between lost the list.
-        if keys.lacking(now).iter().any(|lacking| lacking.generation == request.generation) {
+        if keys.missing(now).iter().any(|missing| missing.generation == request.generation) {
             let _ = self.context.early_fetch.0.try_send(());
         }
         reply
--- a/crates/entry/src/lists.rs
+++ b/crates/entry/src/lists.rs
@@ -48,16 +48,16 @@
             Wake::Early => before.clear(),
             Wake::Due => {}
         }
-        let lacking = context.keys.lock().lacking(runtime::now());
-        if !lacking.is_empty() {
+        let missing = context.keys.lock().missing(runtime::now());
+        if !missing.is_empty() {
             future::or(fetch(&context), shutdown.wait()).await;
         }
         // A witness is asked soon again until it has adopted the move.
-        pause = match lacking.is_empty() || lacking != before {
+        pause = match missing.is_empty() || missing != before {
             true => PERIOD,
             false => (pause * 2).min(PERIOD_LIMIT),
         };
-        before = lacking;
+        before = missing;
     }
 }
 
@@ -69,8 +69,8 @@
     if last.is_some_and(|at| now.saturating_sub(at) < PERIOD) {
         return;
     }
-    let lacking = context.keys.lock().lacking(now);
-    let tasks: Vec<_> = lacking
+    let missing = context.keys.lock().missing(now);
+    let tasks: Vec<_> = missing
         .into_iter()
         .map(|request| {
             let context = context.clone();
@@ -90,7 +90,7 @@
         let KeyListRequest { service, generation, entry, .. } = &request;
         let count = keys.len();
         tracing::info!(event = "key_list_fetched", service, generation, entry, count, address);
-        context.keys.lock().keep_list(&request, keys);
+        context.keys.lock().store_list(&request, keys);
         return;
     }
 }
--- a/crates/entry/src/members.rs
+++ b/crates/entry/src/members.rs
@@ -7,9 +7,9 @@
 use bytes::Bytes;
 use futures_lite::future;
 use peridotfold_core::id::{Incarnation, ServiceId};
-use peridotfold_core::keys::plan::{self, View};
+use peridotfold_core::keys::plan::{self, ServiceView};
 use peridotfold_core::keys::{Holder, KeyMap, Planner, RETENTION};
-use peridotfold_core::membership::{EntryRecord, HEARTBEAT, RETRY};
+use peridotfold_core::membership::{EntryRecord, HEARTBEAT_INTERVAL, HEARTBEAT_RETRY};
 use peridotfold_core::time;
 use peridotfold_store::{PutOutcome, Store, StoreError, Versioned};
 use peridotfold_wire::error::Step;
@@ -68,10 +68,10 @@
                     self.wait_copied().await;
                     Duration::ZERO
                 }
-                Ok(false) => HEARTBEAT,
+                Ok(false) => HEARTBEAT_INTERVAL,
                 Err(error) => {
                     tracing::warn!(event = "heartbeat_failed", %error);
-                    RETRY
+                    HEARTBEAT_RETRY
                 }
             };
             let now = runtime::now();
@@ -88,7 +88,7 @@
     /// signal came.
     async fn pause(&self, pause: Duration, shutdown: &Shutdown) -> bool {
         let early = async {
-            runtime::sleep(RETRY).await;
+            runtime::sleep(HEARTBEAT_RETRY).await;
             let _ = self.context.early_round.1.recv().await;
             false
         };
@@ -172,7 +172,7 @@
         let Some(found) = found else { return Ok(()) };
         let record = decode::<EntryRecord>(key, &found);
         if record.as_ref().is_some_and(|record| record.joined) {
-            self.context.keys.lock().set_known();
+            self.context.keys.lock().set_rejoined();
         }
         let is_complete = record.as_ref().is_some_and(|record| record.complete);
         let incarnation = record.map(|record| record.incarnation);
@@ -273,18 +273,18 @@
             let mut holders: Vec<_> =
                 live.get(&service).into_iter().flatten().map(holder).collect();
             holders.sort_by(|a, b| a.agent.cmp(&b.agent));
-            let settled = self.context.keys.lock().settled(now, &service);
-            let view = View {
+            let expired_moves = self.context.keys.lock().expired_moves(now, &service);
+            let view = ServiceView {
                 service: &service,
                 map: &map,
                 live: &holders,
                 leaving: &leaving,
                 records: &records,
-                settled: &settled,
+                expired_moves: &expired_moves,
             };
-            self.planner.watch(now, &view);
-            let mover = plan::mover(&service, &alive);
-            if mover.is_none_or(|view| view.entry != self.context.settings.id) {
+            self.planner.track_holders(now, &view);
+            let coordinator = plan::coordinator(&service, &alive);
+            if coordinator.is_none_or(|view| view.entry != self.context.settings.id) {
                 continue;
             }
             if let Some(next) = self.planner.plan(now, &view) {
--- a/crates/entry/src/proxy/attempt.rs
+++ b/crates/entry/src/proxy/attempt.rs
@@ -112,7 +112,7 @@
         Outcome::Answer(_) | Outcome::NotRun { .. } | Outcome::Unknown { .. } => Feedback::Failed,
         Outcome::Abandoned { .. } => Feedback::Abandoned,
     };
-    context.upstreams.lock().learn(runtime::now(), target, &call.service, feedback);
+    context.upstreams.lock().record_feedback(runtime::now(), target, &call.service, feedback);
     outcome
 }
 
--- a/crates/entry/src/proxy/keyed.rs
+++ b/crates/entry/src/proxy/keyed.rs
@@ -51,12 +51,12 @@
         Decision::Unknown => return (never_again(context, call, key), None),
         // A probe is asked once; a second request for one means that the map changed meanwhile.
         Decision::Refuse | Decision::Probe { .. } => {
-            return (confirm(context, call, key, unavailable()).await, None);
+            return (confirm_not_run(context, call, key, unavailable()).await, None);
         }
     };
     let Some(target) = target(context, call, &holder) else {
         context.keys.lock().finish(runtime::now(), &call.service, key, true);
-        return (confirm(context, call, key, unavailable()).await, None);
+        return (confirm_not_run(context, call, key, unavailable()).await, None);
     };
     let in_flight = InFlight::begin(context, &target, &call.service);
     let outcome = attempt::run(context, call, &target, upload, gone).await;
@@ -64,7 +64,7 @@
     context.keys.lock().finish(runtime::now(), &call.service, key, not_run);
     let outcome = match &outcome {
         Outcome::NotRun { reason, reached, .. } if !is_vouched(*reason, *reached) => {
-            confirm(context, call, key, outcome).await
+            confirm_not_run(context, call, key, outcome).await
         }
         _ => outcome,
     };
@@ -79,22 +79,22 @@
 }
 
 /// Returns `refusal` if no entry has dispatched the key, and otherwise that it may have run.
-async fn confirm<S: Store>(
+async fn confirm_not_run<S: Store>(
     context: &Arc<Context<S>>,
     call: &Call,
     key: &Bytes,
     refusal: Outcome,
 ) -> Outcome {
-    let (listed, witnesses) = {
+    let (last_listed, witnesses) = {
         let members = context.members.lock();
         let records: Vec<_> =
             members.records(runtime::now()).map(|(r, silent)| (r.clone(), silent)).collect();
-        (members.listed(), plan::witnesses(context.settings.outage_hold, &records))
+        (members.last_listed(), plan::witnesses(context.settings.outage_hold, &records))
     };
     let results = probe(context, &call.service, key, witnesses.clone(), CONFIRM_LIMIT).await;
     let now = runtime::now();
-    let current = (listed, &witnesses[..]);
-    let is_denied = context.keys.lock().confirm(now, &call.service, key, current, &results);
+    let current = (last_listed, &witnesses[..]);
+    let is_denied = context.keys.lock().confirm_not_run(now, &call.service, key, current, &results);
     match is_denied {
         true => refusal,
         false => never_again(context, call, key),
--- a/crates/entry/src/recovery.rs
+++ b/crates/entry/src/recovery.rs
@@ -26,7 +26,7 @@
 pub async fn run<S: Store>(context: Arc<Context<S>>, shutdown: Shutdown) {
     let end = time::lease_wait(peridotfold_core::keys::RETENTION);
     while !runtime::sleep_or_shutdown(PERIOD, &shutdown).await && runtime::now() < end {
-        let Some((ended, holders)) = context.keys.lock().recover() else { continue };
+        let Some((ended, holders)) = context.keys.lock().recovery_sources() else { continue };
         let tasks: Vec<_> = holders
             .into_iter()
             .map(|(service, holder)| {
@@ -59,7 +59,7 @@
     let count = table.len();
     let Holder { agent, .. } = &holder;
     tracing::info!(event = "key_table_read", service, agent, ended, count);
-    context.keys.lock().inherit(runtime::now(), &service, &holder, &table);
+    context.keys.lock().recover_from(runtime::now(), &service, &holder, &table);
 }
 
 /// Reads the whole table of a holder. `None` when it cannot be reached or has restarted.
