--- a/crates/core/src/homes.rs
+++ b/crates/core/src/homes.rs
@@ -19,8 +19,8 @@
     entries: &'a [EntryAddress],
 ) -> Vec<&'a EntryAddress> {
     let weight = |entry: &EntryAddress| {
-        let own = entry.data_centre == data_centre;
-        (own, hash::rendezvous(agent.as_bytes(), entry.entry.as_bytes()))
+        let is_local = entry.data_centre == data_centre;
+        (is_local, hash::rendezvous(agent.as_bytes(), entry.entry.as_bytes()))
     };
     let mut ranked: Vec<_> = entries.iter().collect();
     ranked.sort_by_key(|entry| std::cmp::Reverse((weight(entry), &entry.entry)));
--- a/crates/core/src/key_table.rs
+++ b/crates/core/src/key_table.rs
@@ -77,7 +77,7 @@
     settled: VecDeque<(Time, Bytes)>,
     /// Keys with a kept response, oldest first.
     answered: VecDeque<Bytes>,
-    stored: usize,
+    stored_bytes: usize,
 }
 
 impl KeyTable {
@@ -107,7 +107,7 @@
                 return;
             }
             Outcome::Answered(answer) if answer.body.len() <= ANSWER_LIMIT => {
-                self.stored += answer.size();
+                self.stored_bytes += answer.size();
                 self.answered.push_back(key.clone());
                 State::Answered(answer)
             }
@@ -115,7 +115,7 @@
         };
         self.keys.insert(key.clone(), state);
         self.settled.push_back((now + RETENTION, key.clone()));
-        self.shrink();
+        self.evict_answers();
     }
 
     /// Returns the keys with a hash above `after`, as many as one page has, and whether there are
@@ -146,7 +146,7 @@
 
     /// Bytes of the kept responses.
     pub fn stored(&self) -> usize {
-        self.stored
+        self.stored_bytes
     }
 
     fn expire(&mut self, now: Time) {
@@ -156,7 +156,7 @@
             }
             let Some((_, key)) = self.settled.pop_front() else { break };
             if let Some(State::Answered(answer)) = self.keys.remove(&key) {
-                self.stored -= answer.size();
+                self.stored_bytes -= answer.size();
                 // Both queues are in the order of outcomes, so the key is the oldest here too.
                 self.answered.pop_front();
             }
@@ -164,11 +164,11 @@
     }
 
     /// Drops the oldest responses, but not their keys, while too much is stored.
-    fn shrink(&mut self) {
-        while self.stored > STORED_LIMIT {
+    fn evict_answers(&mut self) {
+        while self.stored_bytes > STORED_LIMIT {
             let Some(key) = self.answered.pop_front() else { break };
             if let Some(State::Answered(answer)) = self.keys.insert(key, State::Unknown) {
-                self.stored -= answer.size();
+                self.stored_bytes -= answer.size();
             }
         }
     }
--- a/crates/core/src/keys.rs
+++ b/crates/core/src/keys.rs
@@ -6,9 +6,9 @@
 
 pub mod dispatch;
 pub mod gate;
-pub mod inherited;
 pub mod lists;
 pub mod plan;
+pub mod recovered;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 use crate::hash;
 use crate::id::{AgentId, EntryId, Incarnation};
 
-pub use dispatch::{DispatchTable, Dispatched};
+pub use dispatch::{DispatchRecord, DispatchTable};
 pub use gate::{Decision, KeyGate, ProbeResult};
 pub use plan::Planner;
 
--- a/crates/core/src/keys/dispatch.rs
+++ b/crates/core/src/keys/dispatch.rs
@@ -10,15 +10,15 @@
 
 /// A dispatch of a key by this entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Dispatched {
+pub struct DispatchRecord {
     pub holder: Holder,
     /// Generation of the bucket at the first dispatch.
     pub generation: Generation,
     /// Dispatches whose result is not known yet.
-    open: u32,
+    in_flight: u32,
     /// A dispatch ended with anything but a certain `not run`.
-    settled: bool,
-    last: Time,
+    maybe_run: bool,
+    last_change: Time,
 }
 
 type Key = (ServiceId, Bytes);
@@ -27,8 +27,8 @@
 /// when each of its dispatches was certainly not run.
 #[derive(Debug, Default)]
 pub struct DispatchTable {
-    keys: HashMap<Key, Dispatched>,
-    ages: VecDeque<(Time, Key)>,
+    keys: HashMap<Key, DispatchRecord>,
+    expiry_queue: VecDeque<(Time, Key)>,
 }
 
 impl DispatchTable {
@@ -45,41 +45,42 @@
         (holder, generation): (&Holder, Generation),
     ) {
         let id = (service.to_owned(), key.clone());
-        self.ages.push_back((now, id.clone()));
-        let dispatched = self.keys.entry(id).or_insert_with(|| Dispatched {
+        self.expiry_queue.push_back((now, id.clone()));
+        let record = self.keys.entry(id).or_insert_with(|| DispatchRecord {
             holder: holder.clone(),
             generation,
-            open: 0,
-            settled: false,
-            last: now,
+            in_flight: 0,
+            maybe_run: false,
+            last_change: now,
         });
-        assert_eq!(dispatched.holder, *holder, "a key was dispatched to a second holder");
-        dispatched.open += 1;
-        dispatched.last = now;
+        assert_eq!(record.holder, *holder, "a key was dispatched to a second holder");
+        record.in_flight += 1;
+        record.last_change = now;
     }
 
     /// Records the end of a dispatch. `not_run` is set only with proof.
     pub fn end(&mut self, now: Time, service: &str, key: &Bytes, not_run: bool) {
         let id = (service.to_owned(), key.clone());
-        let Some(dispatched) = self.keys.get_mut(&id) else { return };
-        dispatched.open = dispatched.open.saturating_sub(1);
-        dispatched.settled |= !not_run;
-        dispatched.last = now;
-        match dispatched.open == 0 && !dispatched.settled {
+        let Some(record) = self.keys.get_mut(&id) else { return };
+        record.in_flight = record.in_flight.saturating_sub(1);
+        record.maybe_run |= !not_run;
+        record.last_change = now;
+        match record.in_flight == 0 && !record.maybe_run {
             true => {
                 self.keys.remove(&id);
             }
             // The retention counts from the end: a long request may still be retried after it.
-            false => self.ages.push_back((now, id)),
+            false => self.expiry_queue.push_back((now, id)),
         }
     }
 
     /// Forgets keys after the retention.
     pub fn prune(&mut self, now: Time) {
-        while self.ages.front().is_some_and(|(at, _)| now.saturating_sub(*at) >= RETENTION) {
-            let Some((_, id)) = self.ages.pop_front() else { return };
-            let expired = self.keys.get(&id).is_some_and(|dispatched| {
-                dispatched.open == 0 && now.saturating_sub(dispatched.last) >= RETENTION
+        while self.expiry_queue.front().is_some_and(|(at, _)| now.saturating_sub(*at) >= RETENTION)
+        {
+            let Some((_, id)) = self.expiry_queue.pop_front() else { return };
+            let expired = self.keys.get(&id).is_some_and(|record| {
+                record.in_flight == 0 && now.saturating_sub(record.last_change) >= RETENTION
             });
             if expired {
                 self.keys.remove(&id);
@@ -88,7 +89,7 @@
     }
 
     /// Returns the dispatch of a key.
-    pub fn get(&self, service: &str, key: &Bytes) -> Option<&Dispatched> {
+    pub fn get(&self, service: &str, key: &Bytes) -> Option<&DispatchRecord> {
         self.keys.get(&(service.to_owned(), key.clone()))
     }
 
@@ -96,9 +97,9 @@
     pub fn keys<'a>(
         &'a self,
         service: &'a str,
-    ) -> impl Iterator<Item = (&'a Bytes, &'a Dispatched)> {
+    ) -> impl Iterator<Item = (&'a Bytes, &'a DispatchRecord)> {
         let keys = self.keys.iter().filter(move |((name, _), _)| name == service);
-        keys.map(|((_, key), dispatched)| (key, dispatched))
+        keys.map(|((_, key), record)| (key, record))
     }
 
     /// Returns the number of remembered keys.
--- a/crates/core/src/keys/gate.rs
+++ b/crates/core/src/keys/gate.rs
@@ -6,11 +6,11 @@
 use bytes::Bytes;
 
 use crate::id::{EntryId, Incarnation, ServiceId};
-use crate::keys::inherited::{self, Base, Earlier, Inherited};
 use crate::keys::lists::{self, KeyHash, Lists};
+use crate::keys::recovered::{self, ListState, PriorDispatch, RecoveredKeys};
 use crate::keys::{
-    bucket_of, DispatchTable, Dispatched, Generation, Holder, KeyMap, Phase, Witness, JOIN_DELAY,
-    LIST_AGE_LIMIT, LIST_COPY_LIMIT, RETENTION,
+    bucket_of, DispatchRecord, DispatchTable, Generation, Holder, KeyMap, Phase, Witness,
+    JOIN_DELAY, LIST_AGE_LIMIT, LIST_COPY_LIMIT, RETENTION,
 };
 use crate::message::entry::{KeyListReply, KeyListRequest, ProbeReply, TableKey};
 use crate::time::{self, Time};
@@ -34,16 +34,16 @@
 pub type ProbeResult = (Witness, Option<ProbeReply>);
 
 #[derive(Debug, Default)]
-struct Adopted {
+struct AdoptedMap {
     map: KeyMap,
     /// When this entry first saw each current move open.
-    opened: BTreeMap<Generation, Time>,
+    open_since: BTreeMap<Generation, Time>,
     /// Generation up to which this entry acknowledged moves before it adopted `map`.
     acknowledged: Generation,
     /// When the first generation after `acknowledged` was adopted.
-    since: Time,
+    adopted_at: Time,
     /// Generation up to which another entry has fetched this entry's list.
-    copied: Generation,
+    copied_generation: Generation,
 }
 
 #[derive(Debug)]
@@ -60,15 +60,15 @@
     incarnation: Incarnation,
     outage_hold: Duration,
     /// Start of the last round in which the store took a heartbeat and gave the key maps.
-    contact: Option<Time>,
+    last_sync: Option<Time>,
     /// End of the first such round.
-    first: Option<Time>,
+    first_sync: Option<Time>,
     /// The other entries know this entry's name from an earlier incarnation.
-    known: bool,
-    maps: HashMap<ServiceId, Adopted>,
+    rejoined: bool,
+    maps: HashMap<ServiceId, AdoptedMap>,
     dispatched: DispatchTable,
     lists: Lists,
-    inherited: Inherited,
+    recovered: RecoveredKeys,
 }
 
 impl KeyGate {
@@ -78,13 +78,13 @@
             entry,
             incarnation,
             outage_hold,
-            contact: None,
-            first: None,
-            known: false,
+            last_sync: None,
+            first_sync: None,
+            rejoined: false,
             maps: HashMap::new(),
             dispatched: DispatchTable::default(),
             lists: Lists::default(),
-            inherited: Inherited::default(),
+            recovered: RecoveredKeys::default(),
         }
     }
 
@@ -93,33 +93,33 @@
     /// rely on it to read the move.
     pub fn adopt(&mut self, start: Time, now: Time, maps: Vec<(ServiceId, KeyMap)>) {
         for (service, map) in maps {
-            self.replace(now, service, map);
+            self.replace_map(now, service, map);
         }
-        self.contact = Some(start);
-        self.first.get_or_insert(now);
+        self.last_sync = Some(start);
+        self.first_sync.get_or_insert(now);
     }
 
     /// Notes that an earlier incarnation of this entry had joined.
     pub fn set_rejoined(&mut self) {
-        self.known = true;
+        self.rejoined = true;
     }
 
     /// Tells whether the other entries know this one well enough for it to dispatch keys.
     pub fn is_joined(&self, now: Time) -> bool {
-        self.known || self.first.is_some_and(|first| now.saturating_sub(first) >= JOIN_DELAY)
+        self.rejoined || self.first_sync.is_some_and(|at| now.saturating_sub(at) >= JOIN_DELAY)
     }
 
     /// Takes over one key map that was read from the store, or written to it, after the heartbeat
     /// of the current round. An older map is ignored.
     pub fn adopt_one(&mut self, now: Time, service: &str, map: KeyMap) {
-        if self.contact.is_some() {
-            self.replace(now, service.to_owned(), map);
+        if self.last_sync.is_some() {
+            self.replace_map(now, service.to_owned(), map);
         }
     }
 
     /// Stops all dispatches of keys, for a process that was replaced under its name.
     pub fn close(&mut self) {
-        self.contact = None;
+        self.last_sync = None;
         self.maps.clear();
         self.lists.clear();
     }
@@ -127,36 +127,36 @@
     /// Forgets keys after the retention.
     pub fn prune(&mut self, now: Time) {
         self.dispatched.prune(now);
-        self.inherited.prune(now);
+        self.recovered.prune(now);
     }
 
     /// Notes the incarnation before this one, whose table covered the whole retention. What it
     /// dispatched can then be taken over from the holders; see [`Gate::recover`].
     pub fn set_predecessor(&mut self, predecessor: Incarnation) {
-        self.inherited.set_predecessor(predecessor);
+        self.recovered.set_predecessor(predecessor);
     }
 
     /// Tells whether this entry has taken over all that its predecessor dispatched.
     pub fn is_recovered(&self) -> bool {
-        self.inherited.is_complete()
+        self.recovered.is_complete()
     }
 
     /// Returns the predecessor and the holders whose tables are to be read, with their services.
     /// Empty when all is taken over, or when a part of it is lost.
     pub fn recovery_sources(&self) -> Option<(Incarnation, Vec<(ServiceId, Holder)>)> {
-        let predecessor = self.inherited.pending().filter(|_| self.contact.is_some())?;
+        let predecessor = self.recovered.pending().filter(|_| self.last_sync.is_some())?;
         let own = (self.entry.as_str(), self.incarnation);
         let mut holders = BTreeSet::new();
         for (service, adopted) in &self.maps {
             for (index, bucket) in adopted.map.buckets.iter().enumerate() {
-                match inherited::base(service, &adopted.map, index, own, &self.lists) {
-                    _ if self.inherited.covers(service, index) => {}
-                    Base::Held => {
+                match recovered::list_state(service, &adopted.map, index, own, &self.lists) {
+                    _ if self.recovered.has_bucket(service, index) => {}
+                    ListState::Held => {
                         let Holder { agent, incarnation } = &bucket.holder;
                         holders.insert((service.clone(), agent.clone(), *incarnation));
                     }
-                    Base::Lacking => {}
-                    Base::Lost => return None,
+                    ListState::Missing => {}
+                    ListState::Lost => return None,
                 }
             }
         }
@@ -168,33 +168,34 @@
     /// before the table was read. Buckets whose older holders may have run more are left out.
     pub fn recover_from(&mut self, now: Time, service: &str, holder: &Holder, table: &[TableKey]) {
         let Some(adopted) = self.maps.get(service) else { return };
-        if self.inherited.pending().is_none() {
+        if self.recovered.pending().is_none() {
             return;
         }
         let own = (self.entry.as_str(), self.incarnation);
         let known = |index: &usize| {
-            inherited::base(service, &adopted.map, *index, own, &self.lists) == Base::Held
+            recovered::list_state(service, &adopted.map, *index, own, &self.lists)
+                == ListState::Held
         };
-        let mut buckets = inherited::held_by(&adopted.map, holder);
+        let mut buckets = recovered::held_by(&adopted.map, holder);
         buckets.retain(known);
-        self.inherited.cover(now, service, &adopted.map, (holder, &buckets), table);
-        let covered = self.maps.iter().all(|(service, adopted)| {
-            (0..adopted.map.buckets.len()).all(|index| self.inherited.covers(service, index))
+        self.recovered.add_table(now, service, &adopted.map, (holder, &buckets), table);
+        let all_recovered = self.maps.iter().all(|(service, adopted)| {
+            (0..adopted.map.buckets.len()).all(|index| self.recovered.has_bucket(service, index))
         });
-        if covered {
+        if all_recovered {
             for service in self.maps.keys() {
                 let hashes = self.lists.hashes(service, &self.entry);
-                self.inherited.add_list(service, hashes);
+                self.recovered.add_list(service, hashes);
             }
-            self.inherited.set_complete();
+            self.recovered.set_complete();
         }
     }
 
     /// Returns the dispatch of a key by this entry or its predecessor.
-    fn earlier(&self, service: &str, key: &Bytes) -> Option<Earlier> {
+    fn prior_dispatch(&self, service: &str, key: &Bytes) -> Option<PriorDispatch> {
         match self.dispatched.get(service, key) {
-            Some(own) => Some(Earlier::new(own)),
-            None => self.inherited.get(service, key).cloned(),
+            Some(own) => Some(PriorDispatch::new(own)),
+            None => self.recovered.get(service, key).cloned(),
         }
     }
 
@@ -216,7 +217,7 @@
     pub fn note_copied(&mut self, request: &KeyListRequest) {
         if (&request.entry, request.incarnation) == (&self.entry, self.incarnation) {
             if let Some(adopted) = self.maps.get_mut(&request.service) {
-                adopted.copied = adopted.copied.max(request.generation);
+                adopted.copied_generation = adopted.copied_generation.max(request.generation);
             }
         }
     }
@@ -230,17 +231,17 @@
     pub fn expired_moves(&self, now: Time, service: &str) -> Vec<Generation> {
         let Some(adopted) = self.maps.get(service) else { return Vec::new() };
         let old = |at: &Time| now.saturating_sub(*at) >= time::lease_wait(RETENTION);
-        let known = adopted.map.moves.keys();
-        known.filter(|g| adopted.opened.get(g).is_some_and(old)).copied().collect()
+        let moves = adopted.map.moves.keys();
+        moves.filter(|g| adopted.open_since.get(g).is_some_and(old)).copied().collect()
     }
 
     /// Answers a probe of another entry.
     pub fn probe(&self, service: &str, key: &Bytes) -> ProbeReply {
-        match self.earlier(service, key) {
-            Some(earlier) => {
+        match self.prior_dispatch(service, key) {
+            Some(prior) => {
                 // No agent has an empty name.
-                let former = || Holder { agent: String::new(), incarnation: 0 };
-                let Holder { agent, incarnation } = earlier.holder.unwrap_or_else(former);
+                let unknown_holder = || Holder { agent: String::new(), incarnation: 0 };
+                let Holder { agent, incarnation } = prior.holder.unwrap_or_else(unknown_holder);
                 ProbeReply::Dispatched { agent, incarnation }
             }
             None => ProbeReply::NotDispatched {
@@ -259,20 +260,21 @@
         key: &Bytes,
         is_live: impl Fn(&Holder) -> bool,
     ) -> Decision {
-        let earlier = self.earlier(service, key).map(|earlier| earlier.holder);
-        match (self.open(now, service, key), earlier) {
+        let prior = self.prior_dispatch(service, key).map(|prior| prior.holder);
+        match (self.open_bucket(now, service, key), prior) {
             (None, None) => Decision::Refuse,
             (None, Some(_)) => Decision::Unknown,
-            (Some(open), Some(earlier)) => {
-                self.dispatch(now, service, key, open, Some(earlier), is_live)
+            (Some(open), Some(prior)) => {
+                self.dispatch(now, service, key, open, Some(prior), is_live)
             }
             (Some(open), None) => {
-                let clears = |w: &Witness| self.clears(service, open.generation, w, key);
-                if open.witnesses.iter().any(|w| clears(w) == Some(false)) {
+                let excluded =
+                    |w: &Witness| self.excludes_dispatch(service, open.generation, w, key);
+                if open.witnesses.iter().any(|w| excluded(w) == Some(false)) {
                     return Decision::Unknown;
                 }
-                let left = |w: &&Witness| clears(w).is_none();
-                let witnesses: Vec<_> = open.witnesses.iter().filter(left).cloned().collect();
+                let unresolved = |w: &&Witness| excluded(w).is_none();
+                let witnesses: Vec<_> = open.witnesses.iter().filter(unresolved).cloned().collect();
                 match witnesses.is_empty() || !is_live(&open.holder) {
                     true => self.dispatch(now, service, key, open, None, is_live),
                     false => Decision::Probe { generation: open.generation, witnesses },
@@ -291,16 +293,18 @@
         results: &[ProbeResult],
         is_live: impl Fn(&Holder) -> bool,
     ) -> Decision {
-        let earlier = self.earlier(service, key).map(|earlier| earlier.holder);
-        match (self.open(now, service, key), earlier) {
+        let prior = self.prior_dispatch(service, key).map(|prior| prior.holder);
+        match (self.open_bucket(now, service, key), prior) {
             // Of another move that began meanwhile, the witnesses were not asked.
-            (Some(open), earlier) if open.generation == generation => {
-                let cleared = |w: &Witness| match self.clears(service, generation, w, key) {
-                    Some(cleared) => cleared,
-                    None => results.iter().any(|r| r.0 == *w && clears(r, &open.holder)),
+            (Some(open), prior) if open.generation == generation => {
+                let excluded = |w: &Witness| match self
+                    .excludes_dispatch(service, generation, w, key)
+                {
+                    Some(excluded) => excluded,
+                    None => results.iter().any(|r| r.0 == *w && excludes_others(r, &open.holder)),
                 };
-                match open.witnesses.iter().all(cleared) {
-                    true => self.dispatch(now, service, key, open, earlier, is_live),
+                match open.witnesses.iter().all(excluded) {
+                    true => self.dispatch(now, service, key, open, prior, is_live),
                     false => Decision::Unknown,
                 }
             }
@@ -336,7 +340,7 @@
             })
         };
         recent
-            && self.earlier(service, key).is_none()
+            && self.prior_dispatch(service, key).is_none()
             && !self.lists.contains(service, key)
             && current.iter().any(is_self)
             && current.iter().all(|w| w.complete && (is_self(w) || denies(w)))
@@ -344,20 +348,21 @@
 
     /// Tells why a key is `unknown`, for logs and error messages.
     pub fn unknown_cause(&self, now: Time, service: &str, key: &Bytes) -> &'static str {
-        let Some(open) = self.open(now, service, key) else {
-            return match self.earlier(service, key) {
+        let Some(open) = self.open_bucket(now, service, key) else {
+            return match self.prior_dispatch(service, key) {
                 Some(_) => "dispatched before, and its bucket is closed",
                 None => "its bucket is closed, and not all entries deny it",
             };
         };
-        let lacks = |w: &Witness| self.clears(service, open.generation, w, key).is_none();
+        let unlisted =
+            |w: &Witness| self.excludes_dispatch(service, open.generation, w, key).is_none();
         match () {
-            () if self.earlier(service, key).is_some() => "dispatched before",
+            () if self.prior_dispatch(service, key).is_some() => "dispatched before",
             () if self.lists.contains(service, key) => "dispatched by another entry before",
             () if open.witnesses.iter().any(|w| !w.complete) => {
                 "an entry restarted without its list of keys"
             }
-            () if open.witnesses.iter().any(lacks) => "the list of keys of an entry is lacking",
+            () if open.witnesses.iter().any(unlisted) => "the list of keys of an entry is lacking",
             () => "its holder is gone, and not all entries deny it",
         }
     }
@@ -368,11 +373,11 @@
         let mut missing = Vec::new();
         for (service, adopted) in &self.maps {
             for (generation, witnesses) in &adopted.map.moves {
-                let opened = adopted.opened.get(generation).copied().unwrap_or(now);
-                if now.saturating_sub(opened) >= time::lease_wait(RETENTION) {
+                let open_since = adopted.open_since.get(generation).copied().unwrap_or(now);
+                if now.saturating_sub(open_since) >= time::lease_wait(RETENTION) {
                     continue;
                 }
-                let buckets = lists::buckets_of(&adopted.map.buckets, *generation);
+                let buckets = lists::move_mask(&adopted.map.buckets, *generation);
                 let requests =
                     witnesses.iter().filter(|w| w.complete).map(|witness| KeyListRequest {
                         service: service.clone(),
@@ -398,18 +403,21 @@
         }
         let adopted = self.maps.get(&request.service).map(|adopted| adopted.map.generation);
         // Before the move is adopted, keys may still be dispatched to the older holders.
-        if self.contact.is_none() || adopted.is_none_or(|adopted| adopted < request.generation) {
+        if self.last_sync.is_none() || adopted.is_none_or(|adopted| adopted < request.generation) {
             return KeyListReply::NotHeld;
         }
         let keys = self.dispatched.keys(&request.service);
-        let listed = |key: &Bytes, dispatched: &Dispatched| {
-            request.buckets & (1 << bucket_of(key)) != 0
-                && dispatched.generation != request.generation
+        let listed = |key: &Bytes, record: &DispatchRecord| {
+            request.buckets & (1 << bucket_of(key)) != 0 && record.generation != request.generation
         };
         let older = keys
-            .filter(|(key, dispatched)| listed(key, dispatched))
+            .filter(|(key, record)| listed(key, record))
             .map(|(key, _)| lists::hash_of(key))
-            .chain(self.inherited.older(&request.service, request.buckets, request.generation))
+            .chain(self.recovered.hashes_before(
+                &request.service,
+                request.buckets,
+                request.generation,
+            ))
             .filter(|hash| request.after.is_none_or(|after| *hash > after));
         lists::page(older.collect::<BTreeSet<_>>().into_iter())
     }
@@ -429,7 +437,7 @@
 
     /// Tells from this entry's own memory and the lists whether a witness certainly did not
     /// dispatch the key before a move; `None` when it has to be asked.
-    fn clears(
+    fn excludes_dispatch(
         &self,
         service: &str,
         generation: Generation,
@@ -438,14 +446,14 @@
     ) -> Option<bool> {
         let Witness { entry, incarnation, complete, .. } = witness;
         if *entry == self.entry && *incarnation == self.incarnation {
-            let earlier = self.earlier(service, key);
-            return Some(*complete && earlier.is_none_or(|e| e.generation == generation));
+            let prior = self.prior_dispatch(service, key);
+            return Some(*complete && prior.is_none_or(|e| e.generation == generation));
         }
         let dispatched = self.lists.dispatched(service, generation, (entry, *incarnation), key)?;
         Some(*complete && !dispatched)
     }
 
-    fn replace(&mut self, now: Time, service: ServiceId, map: KeyMap) {
+    fn replace_map(&mut self, now: Time, service: ServiceId, map: KeyMap) {
         let adopted = self.maps.entry(service.clone()).or_default();
         adopted.replace(now, map, (&self.entry, self.incarnation));
         let moves = &adopted.map.moves;
@@ -458,12 +466,12 @@
         service: &str,
         key: &Bytes,
         open: OpenBucket,
-        earlier: Option<Option<Holder>>,
+        prior: Option<Option<Holder>>,
         is_live: impl Fn(&Holder) -> bool,
     ) -> Decision {
         let OpenBucket { holder, generation, .. } = open;
-        match earlier {
-            Some(earlier) if earlier.as_ref() != Some(&holder) => Decision::Unknown,
+        match prior {
+            Some(prior) if prior.as_ref() != Some(&holder) => Decision::Unknown,
             Some(_) if !is_live(&holder) => Decision::Unknown,
             None if !is_live(&holder) => Decision::Refuse,
             Some(_) | None => {
@@ -474,9 +482,9 @@
     }
 
     /// Returns the state of the key's bucket if this entry may dispatch to its holder.
-    fn open(&self, now: Time, service: &str, key: &Bytes) -> Option<OpenBucket> {
-        let contact = self.contact?;
-        if now.saturating_sub(contact) >= self.outage_hold || !self.is_joined(now) {
+    fn open_bucket(&self, now: Time, service: &str, key: &Bytes) -> Option<OpenBucket> {
+        let last_sync = self.last_sync?;
+        if now.saturating_sub(last_sync) >= self.outage_hold || !self.is_joined(now) {
             return None;
         }
         let adopted = self.maps.get(service)?;
@@ -484,18 +492,18 @@
         if bucket.phase != Phase::Open {
             return None;
         }
-        let opened = adopted.opened.get(&bucket.generation).copied().unwrap_or(now);
-        let probed = now.saturating_sub(opened) < time::lease_wait(RETENTION);
+        let open_since = adopted.open_since.get(&bucket.generation).copied().unwrap_or(now);
+        let needs_probe = now.saturating_sub(open_since) < time::lease_wait(RETENTION);
         Some(OpenBucket {
             holder: bucket.holder.clone(),
             generation: bucket.generation,
-            witnesses: if probed { witnesses.to_vec() } else { Vec::new() },
+            witnesses: if needs_probe { witnesses.to_vec() } else { Vec::new() },
         })
     }
 }
 
 /// Tells whether a witness proves that the key was dispatched to no holder but `holder`.
-fn clears((witness, reply): &ProbeResult, holder: &Holder) -> bool {
+fn excludes_others((witness, reply): &ProbeResult, holder: &Holder) -> bool {
     match reply {
         Some(ProbeReply::Dispatched { agent, incarnation }) => {
             *agent == holder.agent && *incarnation == holder.incarnation
@@ -508,7 +516,7 @@
     }
 }
 
-impl Adopted {
+impl AdoptedMap {
     fn acknowledged(&self, now: Time, (entry, incarnation): (&str, Incarnation)) -> Generation {
         let generation = self.map.generation;
         let witnesses = self.map.moves.get(&generation).map_or(&[][..], Vec::as_slice);
@@ -517,8 +525,8 @@
             .iter()
             .any(|w| w.entry == entry && w.incarnation == incarnation && w.complete)
             && witnesses.iter().any(|w| w.entry != entry);
-        let waited = now.saturating_sub(self.since) >= LIST_COPY_LIMIT;
-        match !listed || self.copied >= generation || waited {
+        let waited = now.saturating_sub(self.adopted_at) >= LIST_COPY_LIMIT;
+        match !listed || self.copied_generation >= generation || waited {
             true => generation,
             false => self.acknowledged,
         }
@@ -530,14 +538,14 @@
         }
         let acknowledged = self.acknowledged(now, own);
         if map.generation > self.map.generation && acknowledged == self.map.generation {
-            (self.acknowledged, self.since) = (acknowledged, now);
+            (self.acknowledged, self.adopted_at) = (acknowledged, now);
         }
         self.map = map;
         let map = &self.map;
-        self.opened.retain(|generation, _| map.moves.contains_key(generation));
+        self.open_since.retain(|generation, _| map.moves.contains_key(generation));
         for bucket in map.buckets.iter().filter(|bucket| bucket.phase == Phase::Open) {
             if map.moves.contains_key(&bucket.generation) {
-                self.opened.entry(bucket.generation).or_insert(now);
+                self.open_since.entry(bucket.generation).or_insert(now);
             }
         }
     }
--- a/crates/core/src/keys/lists.rs
+++ b/crates/core/src/keys/lists.rs
@@ -24,7 +24,7 @@
 }
 
 /// Returns the buckets of a move as a mask.
-pub fn buckets_of(buckets: &[Bucket], generation: Generation) -> u64 {
+pub fn move_mask(buckets: &[Bucket], generation: Generation) -> u64 {
     let moved = buckets.iter().enumerate().filter(|(_, bucket)| bucket.generation == generation);
     moved.fold(0, |mask, (index, _)| mask | (1 << index))
 }
@@ -55,18 +55,18 @@
 impl Lists {
     /// Keeps a complete list.
     pub fn insert(&mut self, request: &KeyListRequest, keys: BTreeSet<KeyHash>) {
-        self.lists.insert(id(request), List { mask: request.buckets, keys });
+        self.lists.insert(list_id(request), List { mask: request.buckets, keys });
     }
 
     /// Tells whether the list that `request` names is held.
     pub fn holds(&self, request: &KeyListRequest) -> bool {
         let wanted = request.buckets;
-        self.lists.get(&id(request)).is_some_and(|list| list.mask & wanted == wanted)
+        self.lists.get(&list_id(request)).is_some_and(|list| list.mask & wanted == wanted)
     }
 
     /// Answers a request for a list of another entry.
     pub fn page(&self, request: &KeyListRequest) -> KeyListReply {
-        match self.lists.get(&id(request)) {
+        match self.lists.get(&list_id(request)) {
             Some(list) if self.holds(request) => match request.after {
                 Some(after) => page(list.keys.range(after..).copied().filter(|k| *k > after)),
                 None => page(list.keys.iter().copied()),
@@ -83,8 +83,8 @@
         (entry, incarnation): (&str, Incarnation),
         key: &[u8],
     ) -> Option<bool> {
-        let id = (service.to_owned(), generation, entry.to_owned(), incarnation);
-        let list = self.lists.get(&id)?;
+        let list_id = (service.to_owned(), generation, entry.to_owned(), incarnation);
+        let list = self.lists.get(&list_id)?;
         let covered = list.mask & (1 << super::bucket_of(key)) != 0;
         covered.then(|| list.keys.contains(&hash_of(key)))
     }
@@ -112,7 +112,7 @@
     }
 }
 
-fn id(request: &KeyListRequest) -> ListId {
+fn list_id(request: &KeyListRequest) -> ListId {
     let KeyListRequest { service, generation, entry, incarnation, .. } = request;
     (service.clone(), *generation, entry.clone(), *incarnation)
 }
--- a/crates/core/src/keys/plan.rs
+++ b/crates/core/src/keys/plan.rs
@@ -20,7 +20,7 @@
 const UNHEARD_GRACE: Duration = Duration::from_secs(10);
 /// Time between the first upstream of a service and the assignment of its buckets. Upstreams that
 /// start together then share the buckets.
-const FIRST_GRACE: Duration = Duration::from_secs(3);
+const ASSIGNMENT_DELAY: Duration = Duration::from_secs(3);
 
 /// What the planner looks at for one service.
 ///
@@ -44,10 +44,10 @@
 #[derive(Debug)]
 pub struct Planner {
     outage_hold: Duration,
-    missing: HashMap<(ServiceId, Holder), Time>,
+    missing_since: HashMap<(ServiceId, Holder), Time>,
     /// Holders in the map that were live once.
-    heard: HashSet<(ServiceId, Holder)>,
-    first: HashMap<ServiceId, Time>,
+    seen_live: HashSet<(ServiceId, Holder)>,
+    first_live: HashMap<ServiceId, Time>,
 }
 
 /// Returns the entry that moves the buckets of `service`. Entries that disagree about who is
@@ -61,9 +61,9 @@
     pub fn new(outage_hold: Duration) -> Self {
         Planner {
             outage_hold,
-            missing: HashMap::new(),
-            heard: HashSet::new(),
-            first: HashMap::new(),
+            missing_since: HashMap::new(),
+            seen_live: HashSet::new(),
+            first_live: HashMap::new(),
         }
     }
 
@@ -73,12 +73,17 @@
         if view.map.buckets.is_empty() {
             return self.assign(now, view);
         }
-        let gone = self.gone(now, view);
+        let lost_buckets = self.lost_buckets(now, view);
         let mut map = view.map.clone();
-        let changed = match gone.is_empty() || view.live.is_empty() {
-            false => begin_moves(&mut map, view, &gone, witnesses(self.outage_hold, view.records)),
-            true if map.is_moving() => self.open_moves(&mut map, view),
-            true => settle(&mut map, view.expired_moves),
+        let changed = match lost_buckets.is_empty() || view.live.is_empty() {
+            false => begin_moves(
+                &mut map,
+                view,
+                &lost_buckets,
+                witnesses(self.outage_hold, view.records),
+            ),
+            true if map.is_moving() => self.open_buckets(&mut map, view),
+            true => drop_expired(&mut map, view.expired_moves),
         };
         map.drop_unused();
         changed.then_some(map)
@@ -89,56 +94,56 @@
     /// later.
     pub fn track_holders(&mut self, now: Time, view: &ServiceView<'_>) {
         match view.live.is_empty() {
-            true => self.first.remove(view.service),
-            false => Some(*self.first.entry(view.service.to_owned()).or_insert(now)),
+            true => self.first_live.remove(view.service),
+            false => Some(*self.first_live.entry(view.service.to_owned()).or_insert(now)),
         };
-        self.missing.retain(|(service, holder), _| {
+        self.missing_since.retain(|(service, holder), _| {
             service != view.service
                 || (!view.live.contains(holder)
                     && view.map.buckets.iter().any(|bucket| bucket.holder == *holder))
         });
-        self.heard.retain(|(service, holder)| {
+        self.seen_live.retain(|(service, holder)| {
             service != view.service || view.map.buckets.iter().any(|b| b.holder == *holder)
         });
         for bucket in &view.map.buckets {
             let key = (view.service.to_owned(), bucket.holder.clone());
             match view.live.contains(&bucket.holder) {
-                true => drop(self.heard.insert(key)),
-                false => drop(self.missing.entry(key).or_insert(now)),
+                true => drop(self.seen_live.insert(key)),
+                false => drop(self.missing_since.entry(key).or_insert(now)),
             }
         }
     }
 
     fn assign(&self, now: Time, view: &ServiceView<'_>) -> Option<KeyMap> {
-        let first = self.first.get(view.service)?;
-        if now.saturating_sub(*first) < FIRST_GRACE {
+        let first_live = self.first_live.get(view.service)?;
+        if now.saturating_sub(*first_live) < ASSIGNMENT_DELAY {
             return None;
         }
         let generation = view.map.generation + 1;
         // No entry dispatches keys of a service without a map, so there is nobody to wait for.
         let buckets = (0..BUCKETS)
             .map(|index| {
-                let holder = target(view, index)?;
+                let holder = choose_holder(view, index)?;
                 Some(Bucket { holder, phase: Phase::Open, generation })
             })
             .collect::<Option<Vec<_>>>()?;
         Some(KeyMap { generation, buckets, moves: Default::default() })
     }
 
-    fn gone(&self, now: Time, view: &ServiceView<'_>) -> Vec<BucketIndex> {
-        let is_gone = |holder: &Holder| {
+    fn lost_buckets(&self, now: Time, view: &ServiceView<'_>) -> Vec<BucketIndex> {
+        let is_lost = |holder: &Holder| {
             let restarted = view.live.iter().any(|live| live.agent == holder.agent);
             let key = (view.service.to_owned(), holder.clone());
-            let known = restarted || view.leaving.contains(holder);
-            let grace = if self.heard.contains(&key) { MISSING_GRACE } else { UNHEARD_GRACE };
-            let missing = self.missing.get(&key);
-            missing.is_some_and(|at| known || now.saturating_sub(*at) >= grace)
+            let confirmed = restarted || view.leaving.contains(holder);
+            let grace = if self.seen_live.contains(&key) { MISSING_GRACE } else { UNHEARD_GRACE };
+            let missing_since = self.missing_since.get(&key);
+            missing_since.is_some_and(|at| confirmed || now.saturating_sub(*at) >= grace)
         };
         let buckets = view.map.buckets.iter().enumerate();
-        buckets.filter(|(_, bucket)| is_gone(&bucket.holder)).map(|(index, _)| index).collect()
+        buckets.filter(|(_, bucket)| is_lost(&bucket.holder)).map(|(index, _)| index).collect()
     }
 
-    fn open_moves(&self, map: &mut KeyMap, view: &ServiceView<'_>) -> bool {
+    fn open_buckets(&self, map: &mut KeyMap, view: &ServiceView<'_>) -> bool {
         let mut changed = false;
         for bucket in map.buckets.iter_mut().filter(|bucket| bucket.phase == Phase::Moving) {
             let generation = bucket.generation;
@@ -150,7 +155,7 @@
                 bucket.phase = Phase::Open;
                 let before = map.moves.remove(&generation).unwrap_or_default();
                 let current = witnesses(self.outage_hold, view.records);
-                map.moves.insert(generation, merge(&before, current));
+                map.moves.insert(generation, merge_witnesses(&before, current));
                 changed = true;
             }
         }
@@ -196,9 +201,9 @@
 /// Combines the witnesses at the begin of a move with those of a later time. An incarnation that
 /// ended in between stays a witness, since its list may have been fetched; the incarnation that
 /// directly followed it then needs no longer memory than its own.
-pub fn merge(begin: &[Witness], mut current: Vec<Witness>) -> Vec<Witness> {
+pub fn merge_witnesses(initial: &[Witness], mut current: Vec<Witness>) -> Vec<Witness> {
     let find = |entry: &str, incarnation| {
-        begin.iter().find(|w| w.entry == entry && w.incarnation == incarnation)
+        initial.iter().find(|w| w.entry == entry && w.incarnation == incarnation)
     };
     for witness in &mut current {
         let before = find(&witness.entry, witness.incarnation);
@@ -208,7 +213,7 @@
     let ended = |w: &&Witness| {
         !current.iter().any(|c| c.entry == w.entry && c.incarnation == w.incarnation)
     };
-    let ended: Vec<_> = begin.iter().filter(ended).cloned().collect();
+    let ended: Vec<_> = initial.iter().filter(ended).cloned().collect();
     current.extend(ended);
     current
 }
@@ -216,13 +221,13 @@
 fn begin_moves(
     map: &mut KeyMap,
     view: &ServiceView<'_>,
-    gone: &[BucketIndex],
+    lost_buckets: &[BucketIndex],
     witnesses: Vec<Witness>,
 ) -> bool {
     map.generation += 1;
     map.moves.insert(map.generation, witnesses);
-    for index in gone {
-        if let Some(holder) = target(view, *index) {
+    for index in lost_buckets {
+        if let Some(holder) = choose_holder(view, *index) {
             map.buckets[*index] =
                 Bucket { holder, phase: Phase::Moving, generation: map.generation };
         }
@@ -230,13 +235,13 @@
     true
 }
 
-fn settle(map: &mut KeyMap, expired_moves: &[Generation]) -> bool {
+fn drop_expired(map: &mut KeyMap, expired_moves: &[Generation]) -> bool {
     let before = map.moves.len();
     map.moves.retain(|generation, _| !expired_moves.contains(generation));
     map.moves.len() != before
 }
 
-fn target(view: &ServiceView<'_>, index: BucketIndex) -> Option<Holder> {
+fn choose_holder(view: &ServiceView<'_>, index: BucketIndex) -> Option<Holder> {
     let key = format!("{}/{index}", view.service);
     let weight = |holder: &&Holder| hash::rendezvous(key.as_bytes(), holder.agent.as_bytes());
     view.live.iter().max_by_key(weight).cloned()
--- a/crates/core/src/keys/inherited.rs
+++ b/crates/core/src/keys/recovered.rs
@@ -8,13 +8,13 @@
 
 use crate::id::{Incarnation, ServiceId};
 use crate::keys::lists::{self, KeyHash, Lists};
-use crate::keys::{BucketIndex, Dispatched, Generation, Holder, KeyMap, BUCKETS, RETENTION};
+use crate::keys::{BucketIndex, DispatchRecord, Generation, Holder, KeyMap, BUCKETS, RETENTION};
 use crate::message::entry::{KeyListRequest, TableKey};
 use crate::time::{self, Time};
 
 /// A dispatch by an earlier incarnation.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Earlier {
+pub struct PriorDispatch {
     /// `None` for a holder before the current one.
     pub holder: Option<Holder>,
     pub generation: Generation,
@@ -24,11 +24,11 @@
     running: bool,
 }
 
-impl Earlier {
+impl PriorDispatch {
     /// Builds the dispatch by this incarnation.
-    pub fn new(own: &Dispatched) -> Self {
-        let Dispatched { holder, generation, .. } = own;
-        Earlier {
+    pub fn new(own: &DispatchRecord) -> Self {
+        let DispatchRecord { holder, generation, .. } = own;
+        PriorDispatch {
             holder: Some(holder.clone()),
             generation: *generation,
             bucket: None,
@@ -39,18 +39,18 @@
 
 /// What an entry has taken over from its predecessor.
 #[derive(Debug, Default)]
-pub struct Inherited {
+pub struct RecoveredKeys {
     /// The incarnation before, if its own table was complete.
     predecessor: Option<Incarnation>,
     /// Buckets of each service that are taken over; bit `n` stands for bucket `n`.
-    covered: BTreeMap<ServiceId, u64>,
+    buckets_done: BTreeMap<ServiceId, u64>,
     complete: bool,
-    keys: HashMap<ServiceId, HashMap<KeyHash, Earlier>>,
+    keys: HashMap<ServiceId, HashMap<KeyHash, PriorDispatch>>,
     /// When the last keys were taken over.
-    last: Time,
+    last_added: Time,
 }
 
-impl Inherited {
+impl RecoveredKeys {
     /// Sets the incarnation before this one.
     pub fn set_predecessor(&mut self, predecessor: Incarnation) {
         self.predecessor = Some(predecessor);
@@ -67,33 +67,33 @@
     }
 
     /// Returns a key's dispatch.
-    pub fn get(&self, service: &str, key: &[u8]) -> Option<&Earlier> {
+    pub fn get(&self, service: &str, key: &[u8]) -> Option<&PriorDispatch> {
         self.keys.get(service)?.get(&lists::hash_of(key))
     }
 
     /// Iterates over the hashes of a service, but those of other buckets than `mask` and those of
     /// `generation`.
-    pub fn older<'a>(
+    pub fn hashes_before<'a>(
         &'a self,
         service: &str,
         mask: u64,
         generation: Generation,
     ) -> impl Iterator<Item = KeyHash> + 'a {
         let keys = self.keys.get(service).into_iter().flatten();
-        let listed = move |earlier: &Earlier| {
-            earlier.generation != generation
-                && earlier.bucket.is_none_or(|bucket| mask & (1 << bucket) != 0)
+        let listed = move |prior: &PriorDispatch| {
+            prior.generation != generation
+                && prior.bucket.is_none_or(|bucket| mask & (1 << bucket) != 0)
         };
-        keys.filter(move |(_, earlier)| listed(earlier)).map(|(hash, _)| *hash)
+        keys.filter(move |(_, prior)| listed(prior)).map(|(hash, _)| *hash)
     }
 
     /// Tells whether a bucket is taken over.
-    pub fn covers(&self, service: &str, index: BucketIndex) -> bool {
-        self.covered.get(service).is_some_and(|mask| mask & (1 << index) != 0)
+    pub fn has_bucket(&self, service: &str, index: BucketIndex) -> bool {
+        self.buckets_done.get(service).is_some_and(|mask| mask & (1 << index) != 0)
     }
 
     /// Takes over `buckets`, which `holder` holds, with the holder's whole table.
-    pub fn cover(
+    pub fn add_table(
         &mut self,
         now: Time,
         service: &str,
@@ -101,19 +101,19 @@
         (holder, buckets): (&Holder, &[BucketIndex]),
         table: &[TableKey],
     ) {
-        self.last = now;
+        self.last_added = now;
         let keys = self.keys.entry(service.to_owned()).or_default();
         for key in table.iter().filter(|key| buckets.contains(&usize::from(key.bucket))) {
             let generation = map.buckets[usize::from(key.bucket)].generation;
-            let earlier = Earlier {
+            let prior = PriorDispatch {
                 holder: Some(holder.clone()),
                 generation,
                 bucket: Some(key.bucket),
                 running: key.running,
             };
-            keys.insert(key.hash, earlier);
+            keys.insert(key.hash, prior);
         }
-        let mask = self.covered.entry(service.to_owned()).or_default();
+        let mask = self.buckets_done.entry(service.to_owned()).or_default();
         *mask |= buckets.iter().fold(0, |mask, index| mask | (1 << index));
     }
 
@@ -121,8 +121,8 @@
     pub fn add_list(&mut self, service: &str, hashes: Vec<KeyHash>) {
         let keys = self.keys.entry(service.to_owned()).or_default();
         for hash in hashes {
-            let earlier = Earlier { holder: None, generation: 0, bucket: None, running: false };
-            keys.entry(hash).or_insert(earlier);
+            let prior = PriorDispatch { holder: None, generation: 0, bucket: None, running: false };
+            keys.entry(hash).or_insert(prior);
         }
     }
 
@@ -133,9 +133,9 @@
 
     /// Forgets keys after the retention.
     pub fn prune(&mut self, now: Time) {
-        if now.saturating_sub(self.last) >= time::lease_wait(RETENTION) {
+        if now.saturating_sub(self.last_added) >= time::lease_wait(RETENTION) {
             for keys in self.keys.values_mut() {
-                keys.retain(|_, earlier| earlier.running);
+                keys.retain(|_, prior| prior.running);
             }
         }
     }
@@ -143,24 +143,24 @@
 
 /// How the older holders of a bucket matter to an entry that takes over its predecessor's keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Base {
+pub enum ListState {
     /// All that the predecessor dispatched to them is in lists that are held.
     Held,
     /// A list is lacking.
-    Lacking,
+    Missing,
     /// The bucket moved after the predecessor had ended, and its keys cannot be known.
     Lost,
 }
 
 /// Tells how the holders before the current one of a bucket matter to an incarnation of `entry`.
-pub fn base(
+pub fn list_state(
     service: &str,
     map: &KeyMap,
     index: BucketIndex,
     (entry, incarnation): (&str, Incarnation),
     held: &Lists,
-) -> Base {
-    let Some((bucket, witnesses)) = map.bucket(index) else { return Base::Held };
+) -> ListState {
+    let Some((bucket, witnesses)) = map.bucket(index) else { return ListState::Held };
     let own = witnesses.iter().filter(|w| w.entry == entry);
     let state = |w: &crate::keys::Witness| {
         let request = KeyListRequest {
@@ -172,16 +172,16 @@
             after: None,
         };
         match () {
-            () if !w.complete => Base::Lost,
-            () if w.incarnation == incarnation || held.holds(&request) => Base::Held,
-            () => Base::Lacking,
+            () if !w.complete => ListState::Lost,
+            () if w.incarnation == incarnation || held.holds(&request) => ListState::Held,
+            () => ListState::Missing,
         }
     };
     let states: Vec<_> = own.map(state).collect();
     match () {
-        () if states.contains(&Base::Lost) => Base::Lost,
-        () if states.contains(&Base::Lacking) => Base::Lacking,
-        () => Base::Held,
+        () if states.contains(&ListState::Lost) => ListState::Lost,
+        () if states.contains(&ListState::Missing) => ListState::Missing,
+        () => ListState::Held,
     }
 }
 
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -14,7 +14,7 @@
 /// outages that each cover one heartbeat made an entry dead.
 pub const HEARTBEAT_RETRY: Duration = Duration::from_millis(500);
 /// A longer time between two successful lists is an outage of the store and does not count.
-const GAP_LIMIT: Duration = Duration::from_secs(4);
+const LIST_GAP_LIMIT: Duration = Duration::from_secs(4);
 /// The record `entries/<id>` in the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryRecord {
@@ -78,12 +78,12 @@
     /// reads but no writes, all counters stand still and nobody is dead.
     pub fn observe(&mut self, now: Time, records: Vec<EntryRecord>) {
         let gap = now.saturating_sub(self.last_listed.unwrap_or(now));
-        let counted = if gap <= GAP_LIMIT { gap } else { Duration::ZERO };
+        let counted = if gap <= LIST_GAP_LIMIT { gap } else { Duration::ZERO };
         self.last_listed = Some(now);
         self.members.retain(|entry, _| records.iter().any(|record| record.entry == *entry));
         for record in records {
             match self.members.get_mut(&record.entry) {
-                Some(member) if !member.record.differs(&record) => member.silent += counted,
+                Some(member) if !member.record.has_advanced(&record) => member.silent += counted,
                 _ => {
                     let member = Member { silent: Duration::ZERO, advanced: now, record };
                     self.members.insert(member.record.entry.clone(), member);
@@ -128,7 +128,7 @@
 }
 
 impl EntryRecord {
-    fn differs(&self, other: &EntryRecord) -> bool {
+    fn has_advanced(&self, other: &EntryRecord) -> bool {
         (self.incarnation, self.counter) != (other.incarnation, other.counter)
     }
 }
--- a/crates/core/src/routing/budget.rs
+++ b/crates/core/src/routing/budget.rs
@@ -24,8 +24,8 @@
     /// Takes one retry from the budget; tells whether it was allowed.
     pub fn spend(&mut self) -> bool {
         match self.saved_milli.checked_sub(RETRY_MILLI) {
-            Some(rest) => {
-                self.saved_milli = rest;
+            Some(remaining) => {
+                self.saved_milli = remaining;
                 true
             }
             None => false,
--- a/crates/core/src/routing/table.rs
+++ b/crates/core/src/routing/table.rs
@@ -13,34 +13,34 @@
 pub const EXPIRY: Duration = Duration::from_secs(3);
 /// Time for which the last sequence of a silent agent is kept, so that a delayed announcement
 /// cannot bring it back.
-const RETENTION: Duration = Duration::from_secs(60);
+const SILENCE_RETENTION: Duration = Duration::from_secs(60);
 /// An unused latency estimate halves in this time, so that a slow upstream is tried again.
 const LATENCY_HALF_LIFE: Duration = Duration::from_secs(10);
 /// The share of failures halves in this time without outcomes.
-const ERROR_HALF_LIFE: Duration = Duration::from_secs(5);
+const FAILURE_HALF_LIFE: Duration = Duration::from_secs(5);
 /// Share of a new sample in the smoothed latency.
-const SAMPLE_WEIGHT: f64 = 0.2;
+const LATENCY_WEIGHT: f64 = 0.2;
 /// Share of a new announcement in the smoothed load of other entries. An unsmoothed count is up to
 /// 1 s old, in which all entries send to the upstreams that happened to be idle at that moment.
-const OTHERS_WEIGHT: f64 = 0.2;
+const OTHER_REQUESTS_WEIGHT: f64 = 0.2;
 /// Share of a new outcome in the smoothed share of failures. When failures were counted instead,
 /// one missed deadline in a thousand requests raised the cost of a healthy upstream 20 times.
-const ERROR_WEIGHT: f64 = 0.02;
+const FAILURE_WEIGHT: f64 = 0.02;
 /// Cost factor of an upstream that fails always. An error that returns in 1 ms must not look
 /// better than an answer in 50 ms.
-const ERROR_COST: f64 = 1_000.0;
+const FAILURE_COST: f64 = 1_000.0;
 /// Consecutive failures after which an upstream is ejected. Chance alone, at 1% failures, causes
 /// such a run once in 10 billion requests.
-const EJECT_RUN: u32 = 5;
+const EJECTION_STREAK: u32 = 5;
 /// Length of the first ejection. It doubles each time that the upstream fails again after it.
-const EJECT_MIN: Duration = Duration::from_secs(1);
-const EJECT_MAX: Duration = Duration::from_secs(30);
+const EJECTION_MIN: Duration = Duration::from_secs(1);
+const EJECTION_MAX: Duration = Duration::from_secs(30);
 /// Floor of the latency estimate; below it, differences are measurement noise.
-const LATENCY_FLOOR: f64 = 0.000_5;
+const LATENCY_FLOOR_S: f64 = 0.000_5;
 /// Earlier incarnations of an agent that are remembered.
-const REPLACED_KEPT: usize = 8;
+const REPLACED_LIMIT: usize = 8;
 /// Random draws before the eligible upstreams are enumerated.
-const DRAWS: usize = 8;
+const DRAW_LIMIT: usize = 8;
 
 /// An upstream that was chosen for a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -81,20 +81,20 @@
 }
 
 #[derive(Debug)]
-struct Usage {
+struct ServiceStats {
     load: ServiceLoad,
     /// Requests of this entry in flight.
     in_flight: u32,
     /// Requests of other entries, smoothed over announcements.
-    others: f64,
+    other_requests: f64,
     /// Smoothed latency in seconds, as of `updated`.
     latency: f64,
-    updated: Time,
+    latency_updated: Time,
     /// Smoothed share of failures, as of `judged`.
-    errors: f64,
-    judged: Time,
+    failure_rate: f64,
+    failure_rate_updated: Time,
     /// Failures since the last answer.
-    run: u32,
+    failure_streak: u32,
     /// Ejections since the last answer.
     ejections: u32,
     ejected_until: Time,
@@ -103,11 +103,11 @@
 #[derive(Debug)]
 struct Upstream {
     announce: Announce,
-    heard: Time,
+    last_heard: Time,
     demoted: bool,
     /// Earlier incarnations of the agent with their last sequence, the latest last.
     replaced: Vec<(Incarnation, u64)>,
-    usage: HashMap<ServiceId, Usage>,
+    stats: HashMap<ServiceId, ServiceStats>,
 }
 
 /// Upstreams known to an entry.
@@ -121,41 +121,43 @@
     /// Takes an announcement that arrived at `now`, or, when it was relayed, that reached its
     /// first entry at `now`. Tells whether it was newer than what is known.
     pub fn announce(&mut self, now: Time, announce: Announce) -> bool {
-        if self.upstreams.get(&announce.agent).is_some_and(|known| known.outdates(now, &announce)) {
+        if self.upstreams.get(&announce.agent).is_some_and(|known| known.supersedes(now, &announce))
+        {
             return false;
         }
         let agent = announce.agent.clone();
-        let (mut usage, replaced) = match self.upstreams.remove(&agent) {
+        let (mut stats, replaced) = match self.upstreams.remove(&agent) {
             Some(known) if known.announce.incarnation == announce.incarnation => {
-                (known.usage, known.replaced)
+                (known.stats, known.replaced)
             }
             Some(known) => (HashMap::new(), known.replaced_with(announce.incarnation)),
             None => (HashMap::new(), Vec::new()),
         };
-        let kept = usage.len();
-        usage.retain(|service, _| announce.services.iter().any(|load| load.service == *service));
-        let mut indexed = kept == usage.len();
+        let known_services = stats.len();
+        stats.retain(|service, _| announce.services.iter().any(|load| load.service == *service));
+        let mut is_indexed = known_services == stats.len();
         for load in &announce.services {
-            match usage.get_mut(&load.service) {
-                Some(usage) => usage.refresh(load),
+            match stats.get_mut(&load.service) {
+                Some(stats) => stats.refresh(load),
                 None => {
-                    indexed = false;
-                    usage.insert(load.service.clone(), Usage::new(now, load));
+                    is_indexed = false;
+                    stats.insert(load.service.clone(), ServiceStats::new(now, load));
                 }
             }
         }
         // The index is scanned only when the services of the agent change.
-        if !indexed {
-            self.index(&agent, &announce);
+        if !is_indexed {
+            self.index_services(&agent, &announce);
         }
         self.upstreams
-            .insert(agent, Upstream { announce, heard: now, demoted: false, replaced, usage });
+            .insert(agent, Upstream { announce, last_heard: now, demoted: false, replaced, stats });
         true
     }
 
     /// Drops agents that have been silent for a long time.
     pub fn prune(&mut self, now: Time) {
-        self.upstreams.retain(|_, upstream| now.saturating_sub(upstream.heard) < RETENTION);
+        self.upstreams
+            .retain(|_, upstream| now.saturating_sub(upstream.last_heard) < SILENCE_RETENTION);
         let upstreams = &self.upstreams;
         for agents in self.services.values_mut() {
             agents.retain(|agent| upstreams.contains_key(agent));
@@ -165,8 +167,8 @@
 
     /// Records that a request of this entry is sent to `target`.
     pub fn begin(&mut self, target: &Target, service: &str) {
-        if let Some(usage) = self.usage_mut(target, service) {
-            usage.in_flight += 1;
+        if let Some(stats) = self.stats_mut(target, service) {
+            stats.in_flight += 1;
         }
     }
 
@@ -178,8 +180,8 @@
         service: &str,
         feedback: Feedback,
     ) {
-        if let Some(usage) = self.usage_mut(target, service) {
-            usage.record_feedback(now, feedback);
+        if let Some(stats) = self.stats_mut(target, service) {
+            stats.record_feedback(now, feedback);
         }
         if feedback == Feedback::Failed {
             self.eject(now, target, service);
@@ -197,8 +199,8 @@
 
     /// Records that the request of this entry is no longer in flight.
     pub fn end(&mut self, target: &Target, service: &str) {
-        if let Some(usage) = self.usage_mut(target, service) {
-            usage.in_flight = usage.in_flight.saturating_sub(1);
+        if let Some(stats) = self.stats_mut(target, service) {
+            stats.in_flight = stats.in_flight.saturating_sub(1);
         }
     }
 
@@ -213,11 +215,11 @@
     ) -> Option<Target> {
         let agents = self.services.get(service)?;
         let usable = |agent: &AgentId| !tried.contains(agent) && self.is_eligible(now, agent);
-        let sound = |agent: &AgentId| usable(agent) && !self.is_ejected(now, agent, service);
-        let Some(first) = draw(agents, sound, rng) else {
-            return self.target(draw(agents, usable, rng)?);
+        let healthy = |agent: &AgentId| usable(agent) && !self.is_ejected(now, agent, service);
+        let Some(first) = draw_agent(agents, healthy, rng) else {
+            return self.target(draw_agent(agents, usable, rng)?);
         };
-        let second = draw(agents, |agent| agent != first && sound(agent), rng);
+        let second = draw_agent(agents, |agent| agent != first && healthy(agent), rng);
         let best = match second {
             Some(second) if self.cost(now, second, service) < self.cost(now, first, service) => {
                 second
@@ -237,7 +239,7 @@
     ) -> Option<Target> {
         let upstream = self.upstreams.get(agent)?;
         let fits = upstream.announce.incarnation == incarnation
-            && upstream.usage.contains_key(service)
+            && upstream.stats.contains_key(service)
             && upstream.is_eligible(now);
         fits.then(|| self.target(agent)).flatten()
     }
@@ -246,7 +248,7 @@
     pub fn eligible(&self, now: Time) -> HashMap<ServiceId, Vec<(AgentId, Incarnation)>> {
         let mut result: HashMap<_, Vec<_>> = HashMap::new();
         for (agent, upstream) in self.upstreams.iter().filter(|(_, u)| u.is_live(now)) {
-            for service in upstream.usage.keys() {
+            for service in upstream.stats.keys() {
                 let entry = (agent.clone(), upstream.announce.incarnation);
                 result.entry(service.clone()).or_default().push(entry);
             }
@@ -270,7 +272,7 @@
         views
     }
 
-    fn index(&mut self, agent: &AgentId, announce: &Announce) {
+    fn index_services(&mut self, agent: &AgentId, announce: &Announce) {
         for (service, agents) in &mut self.services {
             if !announce.services.iter().any(|load| load.service == *service) {
                 agents.retain(|known| known != agent);
@@ -289,14 +291,14 @@
     }
 
     fn is_ejected(&self, now: Time, agent: &str, service: &str) -> bool {
-        let usage = self.upstreams.get(agent).and_then(|upstream| upstream.usage.get(service));
-        usage.is_some_and(|usage| now < usage.ejected_until)
+        let stats = self.upstreams.get(agent).and_then(|upstream| upstream.stats.get(service));
+        stats.is_some_and(|stats| now < stats.ejected_until)
     }
 
     /// Ejects an upstream that only fails, unless half of the upstreams are ejected already: then
     /// the cause is probably elsewhere, and the others could not take the load.
     fn eject(&mut self, now: Time, target: &Target, service: &str) {
-        if !self.usage_mut(target, service).is_some_and(|usage| usage.is_failing(now)) {
+        if !self.stats_mut(target, service).is_some_and(|stats| stats.is_failing(now)) {
             return;
         }
         let agents = self.services.get(service).map_or(&[][..], Vec::as_slice);
@@ -304,14 +306,14 @@
         if (ejected + 1) * 2 > agents.len() {
             return;
         }
-        if let Some(usage) = self.usage_mut(target, service) {
-            usage.eject(now);
+        if let Some(stats) = self.stats_mut(target, service) {
+            stats.eject(now);
         }
     }
 
     fn cost(&self, now: Time, agent: &str, service: &str) -> f64 {
-        match self.upstreams.get(agent).and_then(|upstream| upstream.usage.get(service)) {
-            Some(usage) => usage.cost(now),
+        match self.upstreams.get(agent).and_then(|upstream| upstream.stats.get(service)) {
+            Some(stats) => stats.cost(now),
             None => f64::INFINITY,
         }
     }
@@ -325,17 +327,17 @@
         })
     }
 
-    fn usage_mut(&mut self, target: &Target, service: &str) -> Option<&mut Usage> {
+    fn stats_mut(&mut self, target: &Target, service: &str) -> Option<&mut ServiceStats> {
         let upstream = self.upstreams.get_mut(&target.agent)?;
         match upstream.announce.incarnation == target.incarnation {
-            true => upstream.usage.get_mut(service),
+            true => upstream.stats.get_mut(service),
             false => None,
         }
     }
 }
 
 /// Draws one of the agents that fit.
-fn draw<'a>(
+fn draw_agent<'a>(
     agents: &'a [AgentId],
     fits: impl Fn(&AgentId) -> bool,
     rng: &mut fastrand::Rng,
@@ -343,7 +345,7 @@
     if agents.is_empty() {
         return None;
     }
-    for _ in 0..DRAWS {
+    for _ in 0..DRAW_LIMIT {
         let agent = &agents[rng.usize(..agents.len())];
         if fits(agent) {
             return Some(agent);
@@ -357,13 +359,13 @@
     /// Tells whether `announce` is older than what is known. Incarnations have no order: one is
     /// older if it was replaced here before. While the known incarnation is silent, a replaced one
     /// is taken all the same, so that a wrong order of arrival is corrected within the expiry.
-    fn outdates(&self, now: Time, announce: &Announce) -> bool {
+    fn supersedes(&self, now: Time, announce: &Announce) -> bool {
         if announce.incarnation == self.announce.incarnation {
             return announce.sequence <= self.announce.sequence;
         }
         let known = self.replaced.iter().find(|(known, _)| *known == announce.incarnation);
         known.is_some_and(|(_, sequence)| {
-            announce.sequence <= *sequence || now.saturating_sub(self.heard) < EXPIRY
+            announce.sequence <= *sequence || now.saturating_sub(self.last_heard) < EXPIRY
         })
     }
 
@@ -371,14 +373,14 @@
         let mut replaced = self.replaced;
         replaced.retain(|(known, _)| *known != next);
         replaced.push((self.announce.incarnation, self.announce.sequence));
-        if replaced.len() > REPLACED_KEPT {
+        if replaced.len() > REPLACED_LIMIT {
             replaced.remove(0);
         }
         replaced
     }
 
     fn is_live(&self, now: Time) -> bool {
-        self.announce.state == AgentState::Ready && now.saturating_sub(self.heard) < EXPIRY
+        self.announce.state == AgentState::Ready && now.saturating_sub(self.last_heard) < EXPIRY
     }
 
     fn is_eligible(&self, now: Time) -> bool {
@@ -386,7 +388,7 @@
     }
 
     fn view(&self, now: Time) -> UpstreamView {
-        let silent = now.saturating_sub(self.heard);
+        let silent = now.saturating_sub(self.last_heard);
         let state = match self.announce.state {
             AgentState::Leaving => "leaving",
             AgentState::Ready if silent >= EXPIRY => "expired",
@@ -400,32 +402,32 @@
             data_centre: self.announce.data_centre.clone(),
             state,
             services: self.announce.services.iter().map(|load| load.service.clone()).collect(),
-            in_flight: self.usage.values().map(|usage| usage.in_flight).sum(),
+            in_flight: self.stats.values().map(|stats| stats.in_flight).sum(),
             config_version: self.announce.config_version,
             heard_ms: silent.as_millis() as u64,
         }
     }
 }
 
-impl Usage {
+impl ServiceStats {
     fn new(now: Time, load: &ServiceLoad) -> Self {
-        Usage {
+        ServiceStats {
             load: load.clone(),
             in_flight: 0,
-            others: f64::from(load.running + load.queued),
+            other_requests: f64::from(load.running + load.queued),
             latency: load.latency.as_secs_f64(),
-            updated: now,
-            errors: 0.0,
-            judged: now,
-            run: 0,
+            latency_updated: now,
+            failure_rate: 0.0,
+            failure_rate_updated: now,
+            failure_streak: 0,
             ejections: 0,
             ejected_until: Time::ZERO,
         }
     }
 
     fn refresh(&mut self, load: &ServiceLoad) {
-        let others = f64::from((load.running + load.queued).saturating_sub(self.in_flight));
-        self.others += OTHERS_WEIGHT * (others - self.others);
+        let other_requests = f64::from((load.running + load.queued).saturating_sub(self.in_flight));
+        self.other_requests += OTHER_REQUESTS_WEIGHT * (other_requests - self.other_requests);
         self.load = load.clone();
     }
 
@@ -434,51 +436,51 @@
             Feedback::Answered(latency) => {
                 let known = self.latency_at(now);
                 let sample = latency.as_secs_f64();
-                self.latency = known + SAMPLE_WEIGHT * (sample - known);
-                self.updated = now;
-                self.judge(now, 0.0);
-                (self.run, self.ejections) = (0, 0);
+                self.latency = known + LATENCY_WEIGHT * (sample - known);
+                self.latency_updated = now;
+                self.record_outcome(now, 0.0);
+                (self.failure_streak, self.ejections) = (0, 0);
             }
-            Feedback::Refused | Feedback::Unreachable => self.judge(now, 1.0),
+            Feedback::Refused | Feedback::Unreachable => self.record_outcome(now, 1.0),
             Feedback::Failed => {
-                self.judge(now, 1.0);
-                self.run = self.run.saturating_add(1);
+                self.record_outcome(now, 1.0);
+                self.failure_streak = self.failure_streak.saturating_add(1);
             }
             Feedback::Abandoned => {}
         }
     }
 
-    fn judge(&mut self, now: Time, failure: f64) {
-        let known = self.errors_at(now);
-        self.errors = known + ERROR_WEIGHT * (failure - known);
-        self.judged = now;
+    fn record_outcome(&mut self, now: Time, failure: f64) {
+        let known = self.failure_rate_at(now);
+        self.failure_rate = known + FAILURE_WEIGHT * (failure - known);
+        self.failure_rate_updated = now;
     }
 
     /// Tells whether the upstream has to be ejected. Failures of requests that were sent before an
     /// ejection do not prolong it.
     fn is_failing(&self, now: Time) -> bool {
-        self.run >= EJECT_RUN && now >= self.ejected_until
+        self.failure_streak >= EJECTION_STREAK && now >= self.ejected_until
     }
 
     fn eject(&mut self, now: Time) {
-        let length = EJECT_MIN * 2_u32.saturating_pow(self.ejections.min(16));
-        self.ejected_until = now + length.min(EJECT_MAX);
+        let length = EJECTION_MIN * 2_u32.saturating_pow(self.ejections.min(16));
+        self.ejected_until = now + length.min(EJECTION_MAX);
         self.ejections += 1;
     }
 
     fn latency_at(&self, now: Time) -> f64 {
-        let age = now.saturating_sub(self.updated).as_secs_f64();
+        let age = now.saturating_sub(self.latency_updated).as_secs_f64();
         self.latency * 0.5_f64.powf(age / LATENCY_HALF_LIFE.as_secs_f64())
     }
 
-    fn errors_at(&self, now: Time) -> f64 {
-        let age = now.saturating_sub(self.judged).as_secs_f64();
-        self.errors * 0.5_f64.powf(age / ERROR_HALF_LIFE.as_secs_f64())
+    fn failure_rate_at(&self, now: Time) -> f64 {
+        let age = now.saturating_sub(self.failure_rate_updated).as_secs_f64();
+        self.failure_rate * 0.5_f64.powf(age / FAILURE_HALF_LIFE.as_secs_f64())
     }
 
     fn cost(&self, now: Time) -> f64 {
-        let waiting = f64::from(self.in_flight) + self.others + 1.0;
-        let latency = self.latency_at(now).max(LATENCY_FLOOR);
-        waiting * latency * (1.0 + ERROR_COST * self.errors_at(now))
+        let waiting = f64::from(self.in_flight) + self.other_requests + 1.0;
+        let latency = self.latency_at(now).max(LATENCY_FLOOR_S);
+        waiting * latency * (1.0 + FAILURE_COST * self.failure_rate_at(now))
     }
 }
--- a/crates/core/tests/keys.rs
+++ b/crates/core/tests/keys.rs
@@ -28,7 +28,7 @@
 #[test]
 fn an_entry_without_the_store_does_not_reach_past_a_move() {
     schedules::run(SCHEDULES, |seed| {
-        World::new(seed).run_split();
+        World::new(seed).run_isolated_entry();
         0
     });
 }
--- a/crates/core/tests/keys_world/entry.rs
+++ b/crates/core/tests/keys_world/entry.rs
@@ -11,13 +11,13 @@
 use peridotfold_core::message::entry::{KeyListReply, KeyListRequest};
 use peridotfold_core::time::lease_wait;
 
-use super::{Agent, Store, HOLD, SERVICE};
+use super::{Agent, Store, OUTAGE_HOLD, SERVICE};
 
 const EXPIRY: Duration = Duration::from_secs(3);
 
 /// The next step of a round.
-enum Next {
-    Beat,
+enum StoreCall {
+    Heartbeat,
     ListMap { start: Duration },
     ListRecords { map: (u64, KeyMap) },
     Plan { map: (u64, KeyMap) },
@@ -38,7 +38,7 @@
     started: Duration,
     predecessor: Option<u64>,
     counter: u64,
-    next: Next,
+    next: StoreCall,
     heard: BTreeMap<String, (Holder, Duration)>,
     leaving: Vec<Holder>,
 }
@@ -47,7 +47,7 @@
     pub fn new(index: usize, incarnation: u64, now: Duration, agents: usize) -> Self {
         let name = format!("entry-{index}");
         Entry {
-            gate: KeyGate::new(name.clone(), incarnation, HOLD),
+            gate: KeyGate::new(name.clone(), incarnation, OUTAGE_HOLD),
             name,
             incarnation,
             up: true,
@@ -56,17 +56,17 @@
             reaches: vec![true; agents],
             members: Members::new(Duration::from_secs(6)),
             pages: BTreeMap::new(),
-            planner: Planner::new(HOLD),
+            planner: Planner::new(OUTAGE_HOLD),
             started: now,
             predecessor: None,
             counter: 0,
-            next: Next::Beat,
+            next: StoreCall::Heartbeat,
             heard: BTreeMap::new(),
             leaving: Vec::new(),
         }
     }
 
-    pub fn hear(&mut self, now: Duration, agents: &[Agent]) {
+    pub fn receive_announcements(&mut self, now: Duration, agents: &[Agent]) {
         for (index, agent) in agents.iter().enumerate() {
             let name = agent.holder.agent.clone();
             match (agent.up && self.reaches[index], agent.leaving) {
@@ -102,14 +102,14 @@
     }
 
     /// Lists the entries that have to deny a key before it is reported as not run.
-    pub fn confirming(&self, now: Duration) -> (Option<Duration>, Vec<Witness>) {
+    pub fn confirm_witnesses(&self, now: Duration) -> (Option<Duration>, Vec<Witness>) {
         let records = self.members.records(now);
         let records: Vec<_> = records.map(|(record, age)| (record.clone(), age)).collect();
-        (self.members.last_listed(), witnesses(HOLD, &records))
+        (self.members.last_listed(), witnesses(OUTAGE_HOLD, &records))
     }
 
     /// Takes one page of a list that another entry sent; keeps the list when it is whole.
-    pub fn take(&mut self, request: &KeyListRequest, reply: KeyListReply) {
+    pub fn receive_page(&mut self, request: &KeyListRequest, reply: KeyListReply) {
         let KeyListReply::Page { keys, more } = reply else { return };
         let id = (request.generation, request.entry.clone(), request.incarnation);
         let pages = self.pages.entry(id.clone()).or_default();
@@ -121,7 +121,7 @@
     }
 
     /// Returns the requests for the next pages.
-    pub fn wanted(&self, now: Duration) -> Vec<KeyListRequest> {
+    pub fn page_requests(&self, now: Duration) -> Vec<KeyListRequest> {
         let mut requests = self.gate.missing(now);
         for request in &mut requests {
             let id = (request.generation, request.entry.clone(), request.incarnation);
@@ -136,45 +136,45 @@
             return;
         }
         self.gate.prune(now);
-        let next = std::mem::replace(&mut self.next, Next::Beat);
+        let next = std::mem::replace(&mut self.next, StoreCall::Heartbeat);
         if !self.reaches_store || rng.u32(0..20) == 0 {
             return;
         }
-        let is_lost = rng.u32(0..20) == 0;
+        let reply_lost = rng.u32(0..20) == 0;
         match next {
-            Next::Beat => {
-                self.beat(now, store, false);
-                if !is_lost {
-                    self.next = Next::ListMap { start: now };
+            StoreCall::Heartbeat => {
+                self.write_heartbeat(now, store, false);
+                if !reply_lost {
+                    self.next = StoreCall::ListMap { start: now };
                 }
             }
-            Next::ListMap { start } => {
+            StoreCall::ListMap { start } => {
                 let map = store.map.clone();
                 let listed = match map.0 {
                     0 => Vec::new(),
                     _ => vec![(SERVICE.to_owned(), map.1.clone())],
                 };
                 self.gate.adopt(start, now, listed);
-                self.next = Next::ListRecords { map };
+                self.next = StoreCall::ListRecords { map };
             }
-            Next::ListRecords { map } => {
+            StoreCall::ListRecords { map } => {
                 let records = store.records.values().map(|(_, record)| record.clone()).collect();
                 self.members.observe(now, records);
-                self.next = Next::Plan { map };
+                self.next = StoreCall::Plan { map };
             }
-            Next::Plan { map } => self.plan(now, store, map, is_lost),
+            StoreCall::Plan { map } => self.plan(now, store, map, reply_lost),
         }
     }
 
     /// Writes the last record of a graceful shutdown.
     pub fn stop(&mut self, now: Duration, store: &mut Store) {
         if self.reaches_store {
-            self.beat(now, store, true);
+            self.write_heartbeat(now, store, true);
         }
         self.up = false;
     }
 
-    fn beat(&mut self, now: Duration, store: &mut Store, stopped: bool) {
+    fn write_heartbeat(&mut self, now: Duration, store: &mut Store, stopped: bool) {
         self.counter += 1;
         let found = store.records.get(&self.name);
         if let Some((_, found)) = found.filter(|(_, r)| r.incarnation != self.incarnation) {
@@ -205,7 +205,7 @@
         store.records.insert(self.name.clone(), (version, record));
     }
 
-    fn plan(&mut self, now: Duration, store: &mut Store, map: (u64, KeyMap), is_lost: bool) {
+    fn plan(&mut self, now: Duration, store: &mut Store, map: (u64, KeyMap), reply_lost: bool) {
         let records: Vec<_> =
             self.members.records(now).map(|(record, silent)| (record.clone(), silent)).collect();
         let expired_moves = self.gate.expired_moves(now, SERVICE);
@@ -228,7 +228,7 @@
             return;
         }
         store.map = (map.0 + 1, next.clone());
-        if !is_lost {
+        if !reply_lost {
             self.gate.adopt_one(now, SERVICE, next);
         }
     }
--- a/crates/core/tests/keys_world/recovery.rs
+++ b/crates/core/tests/keys_world/recovery.rs
@@ -7,13 +7,13 @@
 use peridotfold_core::keys::{bucket_of, Decision};
 use peridotfold_core::message::entry::{KeyListReply, TableKey};
 
-use super::{Entry, World, AGENTS, ENTRIES, HOLD, SERVICE};
+use super::{Entry, World, AGENTS, ENTRIES, OUTAGE_HOLD, SERVICE};
 
 impl World {
     /// Restarts an agent, and then an entry at the moment at which the buckets are open again.
     /// Returns how many new keys each entry may not dispatch afterwards.
     pub fn run_killed_at_open(&mut self) -> usize {
-        (self.calm, self.pace) = (true, 100);
+        (self.fault_free, self.step_ms) = (true, 100);
         while !self.is_open() {
             self.step();
         }
@@ -22,7 +22,7 @@
         let generation = self.store.map.1.generation;
         let mut next = self.now;
         // Rounds that follow each other at once, as while a move is in progress.
-        self.pace = 10;
+        self.step_ms = 10;
         while self.store.map.1.generation == generation || self.store.map.1.is_moving() {
             self.step();
             // Processes look for what is lacking at least each 100 ms after a move has begun.
@@ -31,9 +31,9 @@
                 next = self.now + Duration::from_millis(self.rng.u64(50..300));
             }
         }
-        self.pace = 100;
+        self.step_ms = 100;
         self.entries[victim] = Entry::new(victim, self.rng.u64(1..), self.now, AGENTS);
-        let end = self.now + HOLD;
+        let end = self.now + OUTAGE_HOLD;
         while self.now < end {
             self.step();
             self.fetch_all();
@@ -45,7 +45,7 @@
     /// Restarts an entry that agents find one after the other, within 8 s, as they hear of its
     /// address from other entries. Returns how often buckets moved.
     pub fn run_found_late(&mut self) -> u64 {
-        (self.calm, self.pace) = (true, 100);
+        (self.fault_free, self.step_ms) = (true, 100);
         while !self.is_open() {
             self.step();
         }
@@ -54,7 +54,7 @@
         self.entries[victim] = Entry::new(victim, self.rng.u64(1..), self.now, AGENTS);
         let found: Vec<_> =
             (0..AGENTS).map(|_| self.now + Duration::from_millis(self.rng.u64(0..8_000))).collect();
-        let end = self.now + HOLD / 2;
+        let end = self.now + OUTAGE_HOLD / 2;
         while self.now < end {
             for (reaches, found) in self.entries[victim].reaches.iter_mut().zip(&found) {
                 *reaches = self.now >= *found;
@@ -67,7 +67,7 @@
     /// Restarts an entry, and some time later kills an agent for good, or restarts it. Returns how
     /// many new keys each entry may not dispatch afterwards.
     pub fn run_ended_later(&mut self) -> usize {
-        (self.calm, self.pace) = (true, 100);
+        (self.fault_free, self.step_ms) = (true, 100);
         while !self.is_open() {
             self.step();
         }
@@ -85,7 +85,7 @@
             }
         }
         self.entries[victim] = Entry::new(victim, self.rng.u64(1..), self.now, AGENTS);
-        let end = self.now + HOLD / 2;
+        let end = self.now + OUTAGE_HOLD / 2;
         while self.now < end {
             self.step();
             self.fetch_all();
@@ -95,7 +95,7 @@
             true => self.agents[agent].up = false,
             false => self.agents[agent].holder.incarnation = self.rng.u64(1..),
         }
-        let end = self.now + HOLD;
+        let end = self.now + OUTAGE_HOLD;
         while self.now < end {
             self.step();
             self.fetch_all();
@@ -124,14 +124,14 @@
     /// Lets each entry fetch what it lacks from each other entry.
     pub fn fetch_all(&mut self) {
         for (entry, asked) in (0..ENTRIES).flat_map(|e| (0..ENTRIES).map(move |a| (e, a))) {
-            for mut request in self.entries[entry].wanted(self.now) {
+            for mut request in self.entries[entry].page_requests(self.now) {
                 // A second page is never needed: a schedule has few keys.
                 request.after = None;
                 let reply = self.entries[asked].gate.list(&request);
                 if matches!(reply, KeyListReply::Page { more: false, .. }) {
                     self.entries[asked].gate.note_copied(&request);
                 }
-                self.entries[entry].take(&request, reply);
+                self.entries[entry].receive_page(&request, reply);
             }
         }
     }
@@ -167,7 +167,7 @@
     /// Sends each young key again through an entry while its first request has run, and lets the
     /// holder refuse what is on its way then.
     pub fn run_refused_duplicates(&mut self) {
-        (self.calm, self.pace) = (true, 100);
+        (self.fault_free, self.step_ms) = (true, 100);
         while !self.is_open() {
             self.step();
         }
@@ -186,7 +186,7 @@
     /// Restarts an entry, with requests of it on their way, and cuts agents off from all entries,
     /// in any order; callers retry all keys through all entries in between.
     pub fn run_taken_over(&mut self) {
-        (self.calm, self.pace) = (true, 100);
+        (self.fault_free, self.step_ms) = (true, 100);
         while !self.is_open() {
             self.step();
         }
@@ -245,7 +245,7 @@
             if self.rng.u32(0..part) == 0 {
                 let name = self.keys[key].name.clone();
                 let decision = self.entries[entry].decide(self.now, &name);
-                self.act(entry, key, decision);
+                self.apply_decision(entry, key, decision);
             }
         }
     }
@@ -255,7 +255,7 @@
     fn settle_requests(&mut self, delivers: impl Fn(u64) -> bool) {
         loop {
             while !self.probing.is_empty() {
-                self.ask();
+                self.advance_probe();
             }
             let (now, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.messages)
                 .into_iter()
--- a/crates/core/tests/keys_world/world.rs
+++ b/crates/core/tests/keys_world/world.rs
@@ -14,13 +14,13 @@
 use entry::Entry;
 
 pub const SERVICE: &str = "bidding";
-pub const HOLD: Duration = Duration::from_secs(60);
+pub const OUTAGE_HOLD: Duration = Duration::from_secs(60);
 const ENTRIES: usize = 3;
 const AGENTS: usize = 3;
 /// Callers retry a key for less than the retention of 10 min.
-const RETRY_TIME: Duration = Duration::from_secs(9 * 60);
+const RETRY_WINDOW: Duration = Duration::from_secs(9 * 60);
 /// Longest delay of a request on its way to an agent.
-const REQUEST_TIME: Duration = Duration::from_secs(20);
+const DELIVERY_LIMIT: Duration = Duration::from_secs(20);
 
 #[derive(Default)]
 pub struct Store {
@@ -38,11 +38,11 @@
 
 struct Key {
     name: Bytes,
-    born: Duration,
+    created: Duration,
     /// Holders that ran it.
     runs: BTreeSet<(String, u64)>,
     /// Dispatches on their way when a request was answered as not run.
-    denied: BTreeSet<u64>,
+    reported_not_run: BTreeSet<u64>,
 }
 
 /// A request on its way to a holder.
@@ -56,7 +56,7 @@
     /// The key had run when the request came.
     ran: bool,
     /// Dispatches of the key that were on their way then.
-    before: BTreeSet<u64>,
+    in_flight: BTreeSet<u64>,
 }
 
 /// A request whose witnesses are being asked, one after the other.
@@ -68,12 +68,12 @@
     generation: Option<u64>,
     listed: Option<Duration>,
     witnesses: Vec<Witness>,
-    left: Vec<Witness>,
+    unasked: Vec<Witness>,
     results: Vec<(Witness, Option<ProbeReply>)>,
     /// The key had run when the request came.
     ran: bool,
     /// Dispatches of the key that were on their way then.
-    before: BTreeSet<u64>,
+    in_flight: BTreeSet<u64>,
 }
 
 pub struct World {
@@ -81,24 +81,24 @@
     rng: fastrand::Rng,
     now: Duration,
     /// Mean time of one step; long ones let the retention pass.
-    pace: u64,
+    step_ms: u64,
     store: Store,
     entries: Vec<Entry>,
     agents: Vec<Agent>,
     keys: Vec<Key>,
     messages: Vec<Message>,
     probing: Vec<Probing>,
-    numbers: u64,
+    last_number: u64,
     /// Answers of certain `not run`.
     pub not_run: u64,
     /// No faults but those that a test causes.
-    calm: bool,
+    fault_free: bool,
 }
 
 impl World {
     pub fn new(seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let pace = [100, 300, 1_000][rng.usize(0..3)];
+        let step_ms = [100, 300, 1_000][rng.usize(0..3)];
         let entries =
             (0..ENTRIES).map(|i| Entry::new(i, rng.u64(1..), Duration::ZERO, AGENTS)).collect();
         let agents = (0..AGENTS)
@@ -113,32 +113,32 @@
             seed,
             rng,
             now: Duration::ZERO,
-            pace,
+            step_ms,
             store: Store::default(),
             entries,
             agents,
             keys: Vec::new(),
             messages: Vec::new(),
             probing: Vec::new(),
-            numbers: 0,
+            last_number: 0,
             not_run: 0,
-            calm: false,
+            fault_free: false,
         }
     }
 
     pub fn step(&mut self) {
-        self.now += Duration::from_millis(self.rng.u64(0..self.pace * 2));
+        self.now += Duration::from_millis(self.rng.u64(0..self.step_ms * 2));
         self.announce();
         let entry = self.rng.usize(0..ENTRIES);
         match self.rng.u32(0..100) {
             0..50 => self.entries[entry].advance(self.now, &mut self.store, &mut self.rng),
             50..65 => self.request(entry),
             65..80 => self.deliver(),
-            80..90 => self.ask(),
+            80..90 => self.advance_probe(),
             90..92 => self.fetch(entry),
             92..94 => self.recover(entry),
-            _ if self.calm => {}
-            94 => self.split(entry),
+            _ if self.fault_free => {}
+            94 => self.isolate_entry(entry),
             95 => self.change_agent(),
             96 => self.entries[entry].reaches_store = self.rng.u32(0..3) > 0,
             97 => {
@@ -152,14 +152,14 @@
 
     /// Runs steps without faults until one entry is cut off, and then until it must have stopped
     /// to use what it knew.
-    pub fn run_split(&mut self) {
-        (self.calm, self.pace) = (true, 100);
-        let before = self.rng.u32(150..400);
-        (0..before).for_each(|_| self.step());
+    pub fn run_isolated_entry(&mut self) {
+        (self.fault_free, self.step_ms) = (true, 100);
+        let warmup = self.rng.u32(150..400);
+        (0..warmup).for_each(|_| self.step());
         let entry = self.rng.usize(0..ENTRIES);
-        self.split(entry);
+        self.isolate_entry(entry);
         self.entries[entry].reaches_store = false;
-        let end = self.now + HOLD * 2;
+        let end = self.now + OUTAGE_HOLD * 2;
         while self.now < end {
             self.step();
         }
@@ -168,7 +168,7 @@
     /// Restarts an agent, and then an entry as soon as another one has its list; with `outage`, the
     /// store is down around that. Returns how many new keys each entry may not dispatch afterwards.
     pub fn run_restart(&mut self, outage: bool) -> usize {
-        (self.calm, self.pace) = (true, 100);
+        (self.fault_free, self.step_ms) = (true, 100);
         while !self.is_open() {
             self.step();
         }
@@ -192,13 +192,13 @@
         self.set_store(!outage);
         let incarnation = self.rng.u64(1..);
         self.entries[victim] = Entry::new(victim, incarnation, self.now, AGENTS);
-        let end = self.now + HOLD / 4;
+        let end = self.now + OUTAGE_HOLD / 4;
         while self.now < end {
             self.entries[victim].reaches_store = !outage;
             self.step();
         }
         self.set_store(true);
-        let end = self.now + HOLD;
+        let end = self.now + OUTAGE_HOLD;
         while self.now < end {
             self.step();
             (0..ENTRIES).for_each(|entry| self.fetch(entry));
@@ -222,8 +222,8 @@
 
     /// Ends all faults and lets enough time pass for each timeout.
     pub fn heal(&mut self) {
-        self.calm = true;
-        (self.pace, self.messages, self.probing) = (100, Vec::new(), Vec::new());
+        self.fault_free = true;
+        (self.step_ms, self.messages, self.probing) = (100, Vec::new(), Vec::new());
         for index in 0..ENTRIES {
             let entry = &mut self.entries[index];
             (entry.reaches_store, entry.reaches_entries) = (true, true);
@@ -235,7 +235,7 @@
         for agent in &mut self.agents {
             (agent.up, agent.leaving) = (true, false);
         }
-        let end = self.now + HOLD * 2;
+        let end = self.now + OUTAGE_HOLD * 2;
         while self.now < end {
             self.step();
         }
@@ -255,12 +255,12 @@
 
     fn announce(&mut self) {
         for entry in self.entries.iter_mut().filter(|entry| entry.up) {
-            entry.hear(self.now, &self.agents);
+            entry.receive_announcements(self.now, &self.agents);
         }
     }
 
     /// Cuts one entry off from the store, and the others from an agent that it still reaches.
-    fn split(&mut self, entry: usize) {
+    fn isolate_entry(&mut self, entry: usize) {
         let agent = self.rng.usize(0..AGENTS);
         for (index, other) in self.entries.iter_mut().enumerate() {
             other.reaches[agent] = index == entry;
@@ -302,7 +302,7 @@
         // Mostly one of the last keys: retries through several entries within a short time.
         let first = if self.rng.u32(0..4) > 0 { self.keys.len().saturating_sub(3) } else { 0 };
         let young: Vec<usize> = (first..self.keys.len())
-            .filter(|index| now - self.keys[*index].born < RETRY_TIME)
+            .filter(|index| now - self.keys[*index].created < RETRY_WINDOW)
             .collect();
         let key = match self.rng.choice(young) {
             Some(key) if self.rng.u32(0..8) > 0 => key,
@@ -310,29 +310,29 @@
                 let name = Bytes::from(format!("key-{}", self.keys.len()));
                 self.keys.push(Key {
                     name,
-                    born: now,
+                    created: now,
                     runs: BTreeSet::new(),
-                    denied: BTreeSet::new(),
+                    reported_not_run: BTreeSet::new(),
                 });
                 self.keys.len() - 1
             }
         };
         let name = self.keys[key].name.clone();
         let decision = self.entries[entry].decide(now, &name);
-        self.act(entry, key, decision);
+        self.apply_decision(entry, key, decision);
     }
 
-    fn act(&mut self, entry: usize, key: usize, decision: Decision) {
+    fn apply_decision(&mut self, entry: usize, key: usize, decision: Decision) {
         let incarnation = self.entries[entry].incarnation;
-        let on_way = self.messages.iter().filter(|message| message.key == key);
-        let before = on_way.map(|message| message.number).collect();
+        let pending = self.messages.iter().filter(|message| message.key == key);
+        let in_flight = pending.map(|message| message.number).collect();
         let ran = !self.keys[key].runs.is_empty();
         match decision {
             Decision::Dispatch(holder) => {
-                self.numbers += 1;
-                let (number, sent) = (self.numbers, self.now);
+                self.last_number += 1;
+                let (number, sent) = (self.last_number, self.now);
                 let message =
-                    Message { number, entry, incarnation, key, holder, sent, ran, before };
+                    Message { number, entry, incarnation, key, holder, sent, ran, in_flight };
                 self.messages.push(message);
             }
             Decision::Probe { generation, witnesses } => self.probing.push(Probing {
@@ -342,19 +342,19 @@
                 generation: Some(generation),
                 listed: None,
                 witnesses: witnesses.clone(),
-                left: witnesses,
+                unasked: witnesses,
                 results: Vec::new(),
                 ran,
-                before,
+                in_flight,
             }),
-            Decision::Refuse => self.begin_confirm(entry, key, ran, before),
+            Decision::Refuse => self.begin_confirm(entry, key, ran, in_flight),
             Decision::Unknown => {}
         }
     }
 
     /// Begins to ask all entries whether a refused key was run by another dispatch.
-    fn begin_confirm(&mut self, entry: usize, key: usize, ran: bool, before: BTreeSet<u64>) {
-        let (listed, witnesses) = self.entries[entry].confirming(self.now);
+    fn begin_confirm(&mut self, entry: usize, key: usize, ran: bool, in_flight: BTreeSet<u64>) {
+        let (listed, witnesses) = self.entries[entry].confirm_witnesses(self.now);
         self.probing.push(Probing {
             entry,
             incarnation: self.entries[entry].incarnation,
@@ -362,26 +362,26 @@
             generation: None,
             listed,
             witnesses: witnesses.clone(),
-            left: witnesses,
+            unasked: witnesses,
             results: Vec::new(),
             ran,
-            before,
+            in_flight,
         });
     }
 
     /// Asks the next witness of a random request, or decides when all were asked.
-    fn ask(&mut self) {
+    fn advance_probe(&mut self) {
         if self.probing.is_empty() {
             return;
         }
-        let place = self.rng.usize(0..self.probing.len());
-        let mut probing = self.probing.swap_remove(place);
+        let index = self.rng.usize(0..self.probing.len());
+        let mut probing = self.probing.swap_remove(index);
         let asker = &self.entries[probing.entry];
         if asker.incarnation != probing.incarnation || !asker.up {
             return;
         }
         let name = self.keys[probing.key].name.clone();
-        if let Some(witness) = probing.left.pop() {
+        if let Some(witness) = probing.unasked.pop() {
             let reply = self.reply(probing.entry, &witness, &name);
             probing.results.push((witness, reply));
             self.probing.push(probing);
@@ -391,34 +391,35 @@
         let (now, results) = (self.now, &probing.results);
         let entry = &mut self.entries[probing.entry];
         let decision = entry.decide_probed(now, &name, generation, results);
-        self.act(probing.entry, probing.key, decision);
+        self.apply_decision(probing.entry, probing.key, decision);
     }
 
     /// Checks that a key which is reported as not run has not run.
     fn confirm(&mut self, probing: Probing, name: &Bytes) {
-        let Probing { entry, key, listed, witnesses, results, ran, before, .. } = probing;
+        let Probing { entry, key, listed, witnesses, results, ran, in_flight, .. } = probing;
         let gate = &self.entries[entry].gate;
         if gate.confirm_not_run(self.now, SERVICE, name, (listed, &witnesses), &results) {
             self.not_run += 1;
             assert!(!ran, "seed {}: {name:?} had run and is reported as not run", self.seed);
-            self.keys[key].denied.extend(before);
+            self.keys[key].reported_not_run.extend(in_flight);
         }
     }
 
     /// Lets an entry fetch a page of a list that it lacks, from any entry.
     fn fetch(&mut self, entry: usize) {
-        let wanted = self.entries[entry].wanted(self.now);
-        let Some(request) = self.rng.choice(wanted).filter(|_| self.entries[entry].up) else {
+        let page_requests = self.entries[entry].page_requests(self.now);
+        let Some(request) = self.rng.choice(page_requests).filter(|_| self.entries[entry].up)
+        else {
             return;
         };
         let asked = self.rng.usize(0..ENTRIES);
         let source = &self.entries[asked];
         if source.up && source.reaches_entries && self.entries[entry].reaches_entries {
-            let reply = cut(source.gate.list(&request), self.rng.usize(1..4));
+            let reply = truncate_page(source.gate.list(&request), self.rng.usize(1..4));
             if matches!(reply, KeyListReply::Page { more: false, .. }) {
                 self.entries[asked].gate.note_copied(&request);
             }
-            self.entries[entry].take(&request, reply);
+            self.entries[entry].receive_page(&request, reply);
         }
     }
 
@@ -435,13 +436,13 @@
         if self.messages.is_empty() {
             return;
         }
-        let place = self.rng.usize(0..self.messages.len());
-        let message = self.messages.swap_remove(place);
+        let index = self.rng.usize(0..self.messages.len());
+        let message = self.messages.swap_remove(index);
         let agent = self.agents.iter().find(|agent| agent.holder.agent == message.holder.agent);
         let agent = agent.expect("holders are agents");
         let present = agent.up && agent.holder == message.holder;
         let ended = agent.ended.contains(&(message.entry, message.incarnation));
-        let in_time = self.now - message.sent < REQUEST_TIME && !ended;
+        let in_time = self.now - message.sent < DELIVERY_LIMIT && !ended;
         let leaving = agent.leaving;
         let lost = self.rng.u32(0..5) == 0;
         let not_run = match (present && in_time, leaving) {
@@ -460,7 +461,7 @@
             entry.gate.finish(self.now, SERVICE, name, not_run);
             // This copy was not run; another one may have been.
             if not_run {
-                self.begin_confirm(message.entry, message.key, message.ran, message.before);
+                self.begin_confirm(message.entry, message.key, message.ran, message.in_flight);
             }
         }
     }
@@ -468,7 +469,7 @@
     fn run(&mut self, message: &Message) {
         let key = &mut self.keys[message.key];
         assert!(
-            !key.denied.contains(&message.number),
+            !key.reported_not_run.contains(&message.number),
             "seed {}: {:?} runs after it was reported as not run",
             self.seed,
             key.name
@@ -486,7 +487,7 @@
 }
 
 /// Shortens a page, so that lists of few keys take several.
-fn cut(reply: KeyListReply, limit: usize) -> KeyListReply {
+fn truncate_page(reply: KeyListReply, limit: usize) -> KeyListReply {
     match reply {
         KeyListReply::Page { mut keys, more } => {
             let more = more || keys.len() > limit;
