--- a/crates/core/src/key_table.rs
+++ b/crates/core/src/key_table.rs
@@ -1,4 +1,5 @@
-//! Idempotency keys at their holder: each key runs at most once within the retention.
+//! Table of idempotency keys at the agent that holds their buckets, so that each key runs at most
+//! once within the retention.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -10,20 +11,21 @@
 use crate::message::entry::TableKey;
 use crate::time::Time;
 
-/// Time for which the outcome of a key is kept, counted from the outcome.
+/// Time for which a key is kept after its request has ended.
 pub const RETENTION: Duration = Duration::from_secs(600);
-/// Largest response body that is kept.
+/// Size of the largest response body that is kept, in bytes.
 pub const ANSWER_LIMIT: usize = 16 * 1024;
-/// Bytes of all kept responses. A quarter of the memory that a node allows for control.
+/// Maximum size of all kept responses, in bytes: a quarter of the memory that a node allows for
+/// control.
 pub const STORED_LIMIT: usize = 32 * 1024 * 1024;
-/// Keys in the table. Further ones are refused until others expire.
+/// Maximum number of keys in the table. New keys are refused until others expire.
 pub const KEY_LIMIT: usize = 64 * 1024;
 
-/// Keys in one page of the table: about 2.5 KB. A node has 4 KB/s for control, and one page is
-/// asked for each second.
+/// Maximum number of keys in one page of the table. A page is about 2.5 KB; a node has 4 KB/s for
+/// control, and one page per second is requested.
 pub const PAGE_LIMIT: usize = 128;
 
-/// A whole response.
+/// A complete HTTP response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answer {
     pub status: u16,
@@ -32,56 +34,62 @@
 }
 
 impl Answer {
+    /// Returns the size of the headers and the body in bytes.
     fn size(&self) -> usize {
         let headers = self.headers.iter().map(|(name, value)| name.len() + value.len());
         self.body.len() + headers.sum::<usize>()
     }
 }
 
-/// Decision about a request with a key.
+/// Decision of the key table about a request with a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Claim {
-    /// The caller of [`KeyTable::claim`] runs the request and has to call [`KeyTable::settle`].
+    /// The caller of [`KeyTable::claim`] must run the request, then call [`KeyTable::settle`].
     Run,
-    /// Another request with the key runs; its outcome is this one's as well.
+    /// Another request with the key is running; its outcome is the outcome of this one too.
     Join,
+    /// The key has run; its kept response answers this request too.
     Replay(Arc<Answer>),
-    /// The key may have run, and its response is not known.
+    /// The key may have run, but no response is kept.
     Unknown,
-    /// The table is full; the key was not run.
+    /// The table is full, and the key was not run.
     Full,
 }
 
-/// Outcome of a request with a key.
+/// Outcome of a run of a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
+    /// The run ended with a complete response.
     Answered(Arc<Answer>),
-    /// Answered, but the response was not kept or was cut.
+    /// The key may have run, but its response is incomplete or was not kept.
     Unknown,
-    /// Certainly not run: the key is free again.
+    /// The key certainly did not run, so a later request may run it.
     NotRun,
 }
 
+/// State of a key in the table.
 #[derive(Debug)]
 enum State {
     Running,
     Answered(Arc<Answer>),
+    /// May have run, without a kept response.
     Unknown,
 }
 
-/// Keys of one holder.
+/// Keys that one agent incarnation runs or has run, with their responses.
 #[derive(Debug, Default)]
 pub struct KeyTable {
     keys: HashMap<Bytes, State>,
-    /// Settled keys, oldest first, with the time at which each expires.
+    /// Keys whose run has ended, oldest first, with the time at which each expires.
     settled: VecDeque<(Time, Bytes)>,
     /// Keys with a kept response, oldest first.
     answered: VecDeque<Bytes>,
+    /// Size of all kept responses in bytes.
     stored_bytes: usize,
 }
 
 impl KeyTable {
-    /// Decides about a request with `key`.
+    /// Decides about a request with `key`, and marks the key as running for [`Claim::Run`].
     pub fn claim(&mut self, now: Time, key: &Bytes) -> Claim {
         self.expire(now);
         match self.keys.get(key) {
@@ -96,7 +104,7 @@
         }
     }
 
-    /// Ends the run of `key`. Does nothing when the key does not run.
+    /// Records the outcome of the run of `key`. Does nothing when the key is not running.
     pub fn settle(&mut self, now: Time, key: &Bytes, outcome: Outcome) {
         if !matches!(self.keys.get(key), Some(State::Running)) {
             return;
@@ -118,8 +126,9 @@
         self.evict_answers();
     }
 
-    /// Returns the keys with a hash above `after`, as many as one page has, and whether there are
-    /// more. Keys that are settled as not run between two pages may be in neither.
+    /// Returns the first [`PAGE_LIMIT`] keys with a hash above `after`, in the order of hashes, and
+    /// whether there are more. A key that is removed as not run between the requests for two pages
+    /// may be in neither page.
     pub fn page(&self, after: Option<u128>) -> (Vec<TableKey>, bool) {
         let keys = self.keys.iter().map(|(key, state)| TableKey {
             hash: lists::hash_of(key),
@@ -134,21 +143,22 @@
         (keys, more)
     }
 
-    /// Number of keys in the table.
+    /// Returns the number of keys in the table.
     pub fn len(&self) -> usize {
         self.keys.len()
     }
 
-    /// Tells whether the table has no keys.
+    /// Tells whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
 
-    /// Bytes of the kept responses.
+    /// Returns the size of all kept responses in bytes.
     pub fn stored(&self) -> usize {
         self.stored_bytes
     }
 
+    /// Removes the keys whose retention has passed.
     fn expire(&mut self, now: Time) {
         while let Some((due, _)) = self.settled.front() {
             if *due > now {
@@ -157,13 +167,13 @@
             let Some((_, key)) = self.settled.pop_front() else { break };
             if let Some(State::Answered(answer)) = self.keys.remove(&key) {
                 self.stored_bytes -= answer.size();
-                // Both queues are in the order of outcomes, so the key is the oldest here too.
+                // Both queues are in the order of outcomes, so this key is first in both.
                 self.answered.pop_front();
             }
         }
     }
 
-    /// Drops the oldest responses, but not their keys, while too much is stored.
+    /// Drops the oldest responses, but not their keys, until [`STORED_LIMIT`] is met.
     fn evict_answers(&mut self) {
         while self.stored_bytes > STORED_LIMIT {
             let Some(key) = self.answered.pop_front() else { break };
--- a/crates/core/src/keys/dispatch.rs
+++ b/crates/core/src/keys/dispatch.rs
@@ -1,4 +1,4 @@
-//! Keys that an entry has dispatched.
+//! Record of the idempotency keys that an entry has dispatched to holders.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -8,35 +8,38 @@
 use crate::keys::{Generation, Holder, RETENTION};
 use crate::time::Time;
 
-/// A dispatch of a key by this entry.
+/// Dispatches of one key by this entry, all to the same holder.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DispatchRecord {
     pub holder: Holder,
-    /// Generation of the bucket at the first dispatch.
+    /// Generation of the key's bucket at the first dispatch.
     pub generation: Generation,
-    /// Dispatches whose result is not known yet.
+    /// Number of dispatches whose result is not known yet.
     in_flight: u32,
-    /// A dispatch ended with anything but a certain `not run`.
+    /// The key may have run: a dispatch ended without proof that it did not.
     maybe_run: bool,
+    /// Time at which a dispatch last began or ended.
     last_change: Time,
 }
 
 type Key = (ServiceId, Bytes);
 
-/// Table of dispatched keys. A key is entered before its request is sent, and removed early only
-/// when each of its dispatches was certainly not run.
+/// Table of the keys that an entry has dispatched within the retention. A key is recorded before
+/// its request is sent, and removed before the retention ends only with proof that it did not run.
 #[derive(Debug, Default)]
 pub struct DispatchTable {
     keys: HashMap<Key, DispatchRecord>,
+    /// Keys with the time of each begin and end of a dispatch, oldest first.
     expiry_queue: VecDeque<(Time, Key)>,
 }
 
 impl DispatchTable {
-    /// Records a dispatch.
+    /// Records a dispatch of `key` before its request is sent to `holder`.
     ///
     /// # Panics
     ///
-    /// Panics when the key was dispatched to another holder: the caller has to ask first.
+    /// Panics when the key was dispatched to another holder, which the caller has to check with
+    /// [`DispatchTable::get`] first.
     pub fn begin(
         &mut self,
         now: Time,
@@ -58,7 +61,8 @@
         record.last_change = now;
     }
 
-    /// Records the end of a dispatch. `not_run` is set only with proof.
+    /// Records the end of a dispatch. `not_run` must be set only with proof that the request did
+    /// not run.
     pub fn end(&mut self, now: Time, service: &str, key: &Bytes, not_run: bool) {
         let id = (service.to_owned(), key.clone());
         let Some(record) = self.keys.get_mut(&id) else { return };
@@ -69,12 +73,13 @@
             true => {
                 self.keys.remove(&id);
             }
-            // The retention counts from the end: a long request may still be retried after it.
+            // The retention counts from the end of a dispatch, since a long request may still be
+            // retried after its end.
             false => self.expiry_queue.push_back((now, id)),
         }
     }
 
-    /// Forgets keys after the retention.
+    /// Removes keys whose last dispatch ended more than the retention ago.
     pub fn prune(&mut self, now: Time) {
         while self.expiry_queue.front().is_some_and(|(at, _)| now.saturating_sub(*at) >= RETENTION)
         {
@@ -88,12 +93,12 @@
         }
     }
 
-    /// Returns the dispatch of a key.
+    /// Returns the record of a key, if this entry dispatched it.
     pub fn get(&self, service: &str, key: &Bytes) -> Option<&DispatchRecord> {
         self.keys.get(&(service.to_owned(), key.clone()))
     }
 
-    /// Iterates over the remembered keys of a service with their dispatches.
+    /// Iterates over the recorded keys of a service.
     pub fn keys<'a>(
         &'a self,
         service: &'a str,
@@ -102,12 +107,12 @@
         keys.map(|((_, key), record)| (key, record))
     }
 
-    /// Returns the number of remembered keys.
+    /// Returns the number of recorded keys of all services.
     pub fn len(&self) -> usize {
         self.keys.len()
     }
 
-    /// Tells whether no key is remembered.
+    /// Tells whether no key is recorded.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
--- a/crates/core/src/keys/gate.rs
+++ b/crates/core/src/keys/gate.rs
@@ -1,4 +1,4 @@
-//! Decides whether and where an entry may dispatch a request with a key.
+//! Decides whether, and to which holder, an entry may dispatch a request with an idempotency key.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -15,37 +15,39 @@
 use crate::message::entry::{KeyListReply, KeyListRequest, ProbeReply, TableKey};
 use crate::time::{self, Time};
 
-/// What to do with a request that has a key.
+/// Decision of an entry about a request with an idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Decision {
-    /// Dispatch to this holder; the dispatch is already recorded.
+    /// Send the request to this holder; the gate has already recorded the dispatch.
     Dispatch(Holder),
-    /// Ask these entries about the key, and for the lists that are lacking, then call
-    /// [`Gate::decide_probed`].
+    /// Ask these witnesses about the key and fetch their missing lists of dispatched keys, then
+    /// call [`KeyGate::decide_probed`].
     Probe { generation: Generation, witnesses: Vec<Witness> },
-    /// The key may have run at an earlier holder; it is never dispatched again.
+    /// The key may have run at an earlier holder, so it must not be dispatched again.
     Unknown,
-    /// No holder may run the key now. Whether it was run before is open: ask all entries, then
-    /// call [`Gate::confirm`].
+    /// No holder may run the key now, and it is not known whether the key ran before. Ask all
+    /// entries, then call [`KeyGate::confirm_not_run`].
     Refuse,
 }
 
-/// Answer of one witness; `None` when it did not answer.
+/// A witness that was probed and its answer, or `None` when it did not answer.
 pub type ProbeResult = (Witness, Option<ProbeReply>);
 
+/// The key map of one service that this entry applies, with the state of its moves.
 #[derive(Debug, Default)]
 struct AdoptedMap {
     map: KeyMap,
-    /// When this entry first saw each current move open.
+    /// Time at which this entry first saw a bucket of each move open, by generation.
     open_since: BTreeMap<Generation, Time>,
-    /// Generation up to which this entry acknowledged moves before it adopted `map`.
+    /// Generation up to which this entry had acknowledged moves before it adopted `map`.
     acknowledged: Generation,
-    /// When the first generation after `acknowledged` was adopted.
+    /// Time at which the first generation after `acknowledged` was adopted.
     adopted_at: Time,
-    /// Generation up to which another entry has fetched this entry's list.
+    /// Generation up to which another entry has fetched this entry's list of dispatched keys.
     copied_generation: Generation,
 }
 
+/// A bucket whose keys may be dispatched, with the witnesses that must be asked first.
 #[derive(Debug)]
 struct OpenBucket {
     holder: Holder,
@@ -53,26 +55,31 @@
     witnesses: Vec<Witness>,
 }
 
-/// Key maps and dispatched keys of an entry.
+/// Decides about requests with idempotency keys from the adopted key maps, the keys that this
+/// entry dispatched and the lists of keys that other entries dispatched.
 #[derive(Debug)]
 pub struct KeyGate {
     entry: EntryId,
     incarnation: Incarnation,
+    /// Time for which keys may be dispatched without contact to the store.
     outage_hold: Duration,
-    /// Start of the last round in which the store took a heartbeat and gave the key maps.
+    /// Start of the last round that wrote a heartbeat to the store and read the key maps.
     last_sync: Option<Time>,
-    /// End of the first such round.
+    /// End of the first round that did both.
     first_sync: Option<Time>,
-    /// The other entries know this entry's name from an earlier incarnation.
+    /// An earlier incarnation of this entry had joined, so the other entries know its name.
     rejoined: bool,
     maps: HashMap<ServiceId, AdoptedMap>,
+    /// Keys that this incarnation dispatched.
     dispatched: DispatchTable,
+    /// Lists of keys that witnesses dispatched before moves.
     lists: Lists,
+    /// Keys that the previous incarnation of this entry dispatched.
     recovered: RecoveredKeys,
 }
 
 impl KeyGate {
-    /// Builds a gate that lets nothing pass until the first [`Gate::adopt`].
+    /// Builds a gate that allows no dispatch until the first [`KeyGate::adopt`].
     pub fn new(entry: EntryId, incarnation: Incarnation, outage_hold: Duration) -> Self {
         KeyGate {
             entry,
@@ -88,9 +95,9 @@
         }
     }
 
-    /// Takes over the key maps of a round that began at `start`. The round's heartbeat has to be
-    /// written before the maps are read: a mover that does not find this entry's record can then
-    /// rely on it to read the move.
+    /// Adopts the key maps read in a round that began at `start`. The round must write this
+    /// entry's heartbeat before it reads the maps: an entry that moves buckets and finds no record
+    /// of this entry can then rely on it to read the move.
     pub fn adopt(&mut self, start: Time, now: Time, maps: Vec<(ServiceId, KeyMap)>) {
         for (service, map) in maps {
             self.replace_map(now, service, map);
@@ -99,50 +106,53 @@
         self.first_sync.get_or_insert(now);
     }
 
-    /// Notes that an earlier incarnation of this entry had joined.
+    /// Records that an earlier incarnation of this entry had joined, so that [`JOIN_DELAY`] is
+    /// skipped.
     pub fn set_rejoined(&mut self) {
         self.rejoined = true;
     }
 
-    /// Tells whether the other entries know this one well enough for it to dispatch keys.
+    /// Tells whether this entry may dispatch keys, since each recent list of entries names it.
     pub fn is_joined(&self, now: Time) -> bool {
         self.rejoined || self.first_sync.is_some_and(|at| now.saturating_sub(at) >= JOIN_DELAY)
     }
 
-    /// Takes over one key map that was read from the store, or written to it, after the heartbeat
-    /// of the current round. An older map is ignored.
+    /// Adopts one key map that was read from the store or written to it after the heartbeat of the
+    /// current round. A map with a lower generation than the adopted one is ignored.
     pub fn adopt_one(&mut self, now: Time, service: &str, map: KeyMap) {
         if self.last_sync.is_some() {
             self.replace_map(now, service.to_owned(), map);
         }
     }
 
-    /// Stops all dispatches of keys, for a process that was replaced under its name.
+    /// Forbids all further dispatches, because another process runs under this entry's name.
     pub fn close(&mut self) {
         self.last_sync = None;
         self.maps.clear();
         self.lists.clear();
     }
 
-    /// Forgets keys after the retention.
+    /// Removes keys that were dispatched more than the retention ago.
     pub fn prune(&mut self, now: Time) {
         self.dispatched.prune(now);
         self.recovered.prune(now);
     }
 
-    /// Notes the incarnation before this one, whose table covered the whole retention. What it
-    /// dispatched can then be taken over from the holders; see [`Gate::recover`].
+    /// Sets the previous incarnation of this entry, whose table of dispatched keys covered the
+    /// whole retention, so that its keys can be recovered from the holders. See
+    /// [`KeyGate::recovery_sources`].
     pub fn set_predecessor(&mut self, predecessor: Incarnation) {
         self.recovered.set_predecessor(predecessor);
     }
 
-    /// Tells whether this entry has taken over all that its predecessor dispatched.
+    /// Tells whether all keys that the previous incarnation dispatched are recovered.
     pub fn is_recovered(&self) -> bool {
         self.recovered.is_complete()
     }
 
-    /// Returns the predecessor and the holders whose tables are to be read, with their services.
-    /// Empty when all is taken over, or when a part of it is lost.
+    /// Returns the previous incarnation of this entry, and the holders whose key tables must be
+    /// read to recover its keys, with their services. Returns `None` when there is nothing to
+    /// recover, or when a part cannot be recovered.
     pub fn recovery_sources(&self) -> Option<(Incarnation, Vec<(ServiceId, Holder)>)> {
         let predecessor = self.recovered.pending().filter(|_| self.last_sync.is_some())?;
         let own = (self.entry.as_str(), self.incarnation);
@@ -164,8 +174,9 @@
         Some((predecessor, holders.into_iter().map(holder).collect()))
     }
 
-    /// Takes over the whole table of a holder, which refuses requests of the predecessor since
-    /// before the table was read. Buckets whose older holders may have run more are left out.
+    /// Recovers keys of the previous incarnation from the complete key table of a holder. The
+    /// holder must have refused requests of that incarnation since before the table was read.
+    /// Skips buckets for which the list of keys sent to older holders is missing.
     pub fn recover_from(&mut self, now: Time, service: &str, holder: &Holder, table: &[TableKey]) {
         let Some(adopted) = self.maps.get(service) else { return };
         if self.recovered.pending().is_none() {
@@ -191,7 +202,7 @@
         }
     }
 
-    /// Returns the dispatch of a key by this entry or its predecessor.
+    /// Returns the dispatch of a key by this or the previous incarnation of this entry.
     fn prior_dispatch(&self, service: &str, key: &Bytes) -> Option<PriorDispatch> {
         match self.dispatched.get(service, key) {
             Some(own) => Some(PriorDispatch::new(own)),
@@ -199,21 +210,22 @@
         }
     }
 
-    /// Returns the adopted generation of each service.
+    /// Returns the generation of the adopted key map of each service.
     pub fn generations(&self) -> BTreeMap<ServiceId, Generation> {
         self.maps.iter().map(|(service, a)| (service.clone(), a.map.generation)).collect()
     }
 
-    /// Returns the generation of each service up to which this entry acknowledges moves: it has
-    /// adopted the move, and another entry holds its list or had [`COPY_LIMIT`] to fetch it. A
-    /// move that opens before that loses the list with this entry.
+    /// Returns the generation of each service up to which this entry acknowledges moves. A move is
+    /// acknowledged once it is adopted and another entry has fetched this entry's list of
+    /// dispatched keys, or had [`LIST_COPY_LIMIT`] to do so. If a move opened earlier, the death
+    /// of this entry would lose the list.
     pub fn acknowledged(&self, now: Time) -> BTreeMap<ServiceId, Generation> {
         let own = (self.entry.as_str(), self.incarnation);
         self.maps.iter().map(|(service, a)| (service.clone(), a.acknowledged(now, own))).collect()
     }
 
-    /// Notes that another entry has fetched a list as a whole. The list that the request names is
-    /// this entry's, or the note has no effect.
+    /// Records that another entry has fetched the last page of a list of dispatched keys. Does
+    /// nothing when the requested list is not this entry's own.
     pub fn note_copied(&mut self, request: &KeyListRequest) {
         if (&request.entry, request.incarnation) == (&self.entry, self.incarnation) {
             if let Some(adopted) = self.maps.get_mut(&request.service) {
@@ -222,12 +234,12 @@
         }
     }
 
-    /// Returns the adopted map of a service.
+    /// Returns the adopted key map of a service.
     pub fn map(&self, service: &str) -> Option<&KeyMap> {
         self.maps.get(service).map(|adopted| &adopted.map)
     }
 
-    /// Returns the moves of a service that have been open here for the whole retention.
+    /// Returns the generations of the moves that this entry has seen open for the retention.
     pub fn expired_moves(&self, now: Time, service: &str) -> Vec<Generation> {
         let Some(adopted) = self.maps.get(service) else { return Vec::new() };
         let old = |at: &Time| now.saturating_sub(*at) >= time::lease_wait(RETENTION);
@@ -235,11 +247,11 @@
         moves.filter(|g| adopted.open_since.get(g).is_some_and(old)).copied().collect()
     }
 
-    /// Answers a probe of another entry.
+    /// Answers another entry's question whether this entry dispatched a key.
     pub fn probe(&self, service: &str, key: &Bytes) -> ProbeReply {
         match self.prior_dispatch(service, key) {
             Some(prior) => {
-                // No agent has an empty name.
+                // An empty agent name matches no holder, so the asking entry does not dispatch.
                 let unknown_holder = || Holder { agent: String::new(), incarnation: 0 };
                 let Holder { agent, incarnation } = prior.holder.unwrap_or_else(unknown_holder);
                 ProbeReply::Dispatched { agent, incarnation }
@@ -251,8 +263,8 @@
         }
     }
 
-    /// Decides about a request and records its dispatch. `is_live` tells whether a holder takes
-    /// new work.
+    /// Decides about a request with `key`, and records the dispatch if the decision is to dispatch.
+    /// `is_live` tells whether a holder accepts new work.
     pub fn decide(
         &mut self,
         now: Time,
@@ -283,7 +295,8 @@
         }
     }
 
-    /// Decides again after the witnesses of `generation` were asked.
+    /// Decides again about a request with the answers of the witnesses that
+    /// [`Decision::Probe`] named for `generation`.
     pub fn decide_probed(
         &mut self,
         now: Time,
@@ -295,7 +308,7 @@
     ) -> Decision {
         let prior = self.prior_dispatch(service, key).map(|prior| prior.holder);
         match (self.open_bucket(now, service, key), prior) {
-            // Of another move that began meanwhile, the witnesses were not asked.
+            // If the bucket has moved again, the witnesses of the new move were not asked.
             (Some(open), prior) if open.generation == generation => {
                 let excluded = |w: &Witness| match self
                     .excludes_dispatch(service, generation, w, key)
@@ -313,12 +326,13 @@
         }
     }
 
-    /// Tells whether a key that is not dispatched now was certainly never run: each entry of
-    /// `current`, listed from the store at `listed`, was asked, has a complete table, and
-    /// dispatched it nowhere, this one included. An older list may lack an entry that joined.
+    /// Tells whether a key that is not dispatched now certainly never ran. This holds when each
+    /// entry of `current`, including this one, has a complete table and did not dispatch the key.
+    /// `current` must have been listed from the store, at `listed`, less than [`LIST_AGE_LIMIT`]
+    /// ago, since an older list may omit an entry that joined later.
     ///
-    /// A list of a move does not clear a witness here: this entry may not know yet that the move
-    /// is open, and the witness may have dispatched the key to the new holder.
+    /// A list of keys dispatched before a move is no proof here: the move may be open without this
+    /// entry knowing, and the witness may have dispatched the key to the new holder.
     pub fn confirm_not_run(
         &self,
         now: Time,
@@ -346,29 +360,31 @@
             && current.iter().all(|w| w.complete && (is_self(w) || denies(w)))
     }
 
-    /// Tells why a key is `unknown`, for logs and error messages.
+    /// Returns the reason why a request with `key` ends as `unknown`, for logs and error messages.
     pub fn unknown_cause(&self, now: Time, service: &str, key: &Bytes) -> &'static str {
         let Some(open) = self.open_bucket(now, service, key) else {
             return match self.prior_dispatch(service, key) {
-                Some(_) => "dispatched before, and its bucket is closed",
-                None => "its bucket is closed, and not all entries deny it",
+                Some(_) => "the key was dispatched before, and its bucket is not open",
+                None => "the bucket is not open, and an entry may have dispatched the key",
             };
         };
         let unlisted =
             |w: &Witness| self.excludes_dispatch(service, open.generation, w, key).is_none();
         match () {
-            () if self.prior_dispatch(service, key).is_some() => "dispatched before",
-            () if self.lists.contains(service, key) => "dispatched by another entry before",
+            () if self.prior_dispatch(service, key).is_some() => "the key was dispatched before",
+            () if self.lists.contains(service, key) => "another entry dispatched the key before",
             () if open.witnesses.iter().any(|w| !w.complete) => {
-                "an entry restarted without its list of keys"
+                "an entry restarted and lost its list of dispatched keys"
             }
-            () if open.witnesses.iter().any(unlisted) => "the list of keys of an entry is lacking",
-            () => "its holder is gone, and not all entries deny it",
+            () if open.witnesses.iter().any(unlisted) => {
+                "an entry's list of dispatched keys is missing"
+            }
+            () => "the holder is gone, and an entry may have dispatched the key",
         }
     }
 
-    /// Lists what is lacking of the lists of the moves that matter, to be fetched from the witness
-    /// itself or from another entry that holds its list.
+    /// Returns requests for the lists of dispatched keys that this entry does not hold yet, for
+    /// moves within the retention. The witness, or another entry that holds its list, answers them.
     pub fn missing(&self, now: Time) -> Vec<KeyListRequest> {
         let mut missing = Vec::new();
         for (service, adopted) in &self.maps {
@@ -396,13 +412,13 @@
         missing
     }
 
-    /// Answers a request for a list.
+    /// Answers a request for a page of the keys that a witness dispatched before a move.
     pub fn list(&self, request: &KeyListRequest) -> KeyListReply {
         if (&request.entry, request.incarnation) != (&self.entry, self.incarnation) {
             return self.lists.page(request);
         }
         let adopted = self.maps.get(&request.service).map(|adopted| adopted.map.generation);
-        // Before the move is adopted, keys may still be dispatched to the older holders.
+        // Until the move is adopted, keys may still be dispatched to older holders.
         if self.last_sync.is_none() || adopted.is_none_or(|adopted| adopted < request.generation) {
             return KeyListReply::NotHeld;
         }
@@ -422,7 +438,7 @@
         lists::page(older.collect::<BTreeSet<_>>().into_iter())
     }
 
-    /// Keeps a whole list.
+    /// Stores the complete list of `request`, unless the move is no longer in the key map.
     pub fn store_list(&mut self, request: &KeyListRequest, keys: BTreeSet<KeyHash>) {
         let map = self.maps.get(&request.service).map(|adopted| &adopted.map);
         if map.is_some_and(|map| map.moves.contains_key(&request.generation)) {
@@ -430,13 +446,14 @@
         }
     }
 
-    /// Records the end of a dispatch. `not_run` is set only with proof.
+    /// Records the end of a dispatch. `not_run` must be set only with proof that the request did
+    /// not run.
     pub fn finish(&mut self, now: Time, service: &str, key: &Bytes, not_run: bool) {
         self.dispatched.end(now, service, key, not_run);
     }
 
-    /// Tells from this entry's own memory and the lists whether a witness certainly did not
-    /// dispatch the key before a move; `None` when it has to be asked.
+    /// Tells whether a witness certainly did not dispatch the key before a move, according to this
+    /// entry's own records and the lists it holds. Returns `None` when the witness must be asked.
     fn excludes_dispatch(
         &self,
         service: &str,
@@ -453,6 +470,7 @@
         Some(*complete && !dispatched)
     }
 
+    /// Adopts one key map and drops the lists of moves that are no longer in it.
     fn replace_map(&mut self, now: Time, service: ServiceId, map: KeyMap) {
         let adopted = self.maps.entry(service.clone()).or_default();
         adopted.replace(now, map, (&self.entry, self.incarnation));
@@ -460,6 +478,8 @@
         self.lists.retain(&service, |generation| moves.contains_key(&generation));
     }
 
+    /// Dispatches a key to the holder of its open bucket, unless the holder is not live or a prior
+    /// dispatch went elsewhere. `prior` is `Some(None)` for a prior dispatch to an unknown holder.
     fn dispatch(
         &mut self,
         now: Time,
@@ -481,7 +501,7 @@
         }
     }
 
-    /// Returns the state of the key's bucket if this entry may dispatch to its holder.
+    /// Returns the key's bucket if this entry may dispatch to its holder.
     fn open_bucket(&self, now: Time, service: &str, key: &Bytes) -> Option<OpenBucket> {
         let last_sync = self.last_sync?;
         if now.saturating_sub(last_sync) >= self.outage_hold || !self.is_joined(now) {
@@ -502,13 +522,13 @@
     }
 }
 
-/// Tells whether a witness proves that the key was dispatched to no holder but `holder`.
+/// Tells whether a witness's answer proves that it dispatched the key to no holder but `holder`.
 fn excludes_others((witness, reply): &ProbeResult, holder: &Holder) -> bool {
     match reply {
         Some(ProbeReply::Dispatched { agent, incarnation }) => {
             *agent == holder.agent && *incarnation == holder.incarnation
         }
-        // A restarted process has lost what its predecessor dispatched.
+        // A restarted process no longer knows what its predecessor dispatched.
         Some(ProbeReply::NotDispatched { entry, incarnation }) => {
             witness.complete && *entry == witness.entry && *incarnation == witness.incarnation
         }
@@ -517,10 +537,11 @@
 }
 
 impl AdoptedMap {
+    /// Returns the generation up to which the entry acknowledges moves.
     fn acknowledged(&self, now: Time, (entry, incarnation): (&str, Incarnation)) -> Generation {
         let generation = self.map.generation;
         let witnesses = self.map.moves.get(&generation).map_or(&[][..], Vec::as_slice);
-        // Nobody fetches the list of a witness whose table is not complete.
+        // No entry fetches the list of a witness whose table is incomplete.
         let listed = witnesses
             .iter()
             .any(|w| w.entry == entry && w.incarnation == incarnation && w.complete)
@@ -532,6 +553,7 @@
         }
     }
 
+    /// Replaces the map, unless the new one has a lower generation.
     fn replace(&mut self, now: Time, map: KeyMap, own: (&str, Incarnation)) {
         if map.generation < self.map.generation {
             return;
--- a/crates/core/src/keys/lists.rs
+++ b/crates/core/src/keys/lists.rs
@@ -1,8 +1,8 @@
-//! Lists of the keys that witnesses of a move dispatched before it.
+//! Lists of the keys that the witnesses of a move dispatched before it.
 //!
-//! A witness that has adopted a move dispatches nothing more to older holders of its buckets, so
-//! its list is final from then on. Entries fetch and keep the lists: the death of a witness then
-//! leaves only the keys unknown that it had dispatched.
+//! A witness that has adopted a move dispatches nothing more to the old holders of the moved
+//! buckets, so its list is final from then on. The other entries fetch and keep the list: if the
+//! witness dies, only the keys that it had dispatched end as `unknown`, and new keys can run.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,25 +11,26 @@
 use crate::keys::{Bucket, Generation};
 use crate::message::entry::{KeyListReply, KeyListRequest};
 
-/// Hashes in one page: 512 KB of a frame of at most 1 MB.
+/// Maximum number of key hashes in one page: 512 KB, in a frame of at most 1 MB.
 pub const PAGE_LIMIT: usize = 32 * 1024;
 
-/// Hash of a key in a list. At 128 bits, a collision, which would make a key `unknown`, is
-/// negligible.
+/// Hash that stands for a key in a list. A collision would make a new key end as `unknown`; at
+/// 128 bits its probability is negligible.
 pub type KeyHash = u128;
 
-/// Returns the hash of a key.
+/// Returns the hash that stands for a key in lists.
 pub fn hash_of(key: &[u8]) -> KeyHash {
     hash::wide(key)
 }
 
-/// Returns the buckets of a move as a mask.
+/// Returns the bit mask of the buckets that moved last in `generation`; bit `n` stands for bucket
+/// `n`.
 pub fn move_mask(buckets: &[Bucket], generation: Generation) -> u64 {
     let moved = buckets.iter().enumerate().filter(|(_, bucket)| bucket.generation == generation);
     moved.fold(0, |mask, (index, _)| mask | (1 << index))
 }
 
-/// Cuts a page from the sorted hashes after `after`.
+/// Returns the first [`PAGE_LIMIT`] of the sorted `hashes` as a page, and whether more follow.
 pub fn page(hashes: impl Iterator<Item = KeyHash>) -> KeyListReply {
     let mut keys: Vec<_> = hashes.take(PAGE_LIMIT + 1).collect();
     let more = keys.len() > PAGE_LIMIT;
@@ -37,34 +38,36 @@
     KeyListReply::Page { keys, more }
 }
 
+/// The keys that one witness dispatched before one move.
 #[derive(Debug, Default)]
 struct List {
-    /// Buckets that the list covers.
+    /// Bit mask of the buckets that the list covers.
     mask: u64,
     keys: BTreeSet<KeyHash>,
 }
 
+/// Service, move and witness of a list.
 type ListId = (ServiceId, Generation, EntryId, Incarnation);
 
-/// The complete lists that an entry holds.
+/// The complete lists of other entries' keys that an entry holds.
 #[derive(Debug, Default)]
 pub struct Lists {
     lists: BTreeMap<ListId, List>,
 }
 
 impl Lists {
-    /// Keeps a complete list.
+    /// Stores the complete list that `request` names.
     pub fn insert(&mut self, request: &KeyListRequest, keys: BTreeSet<KeyHash>) {
         self.lists.insert(list_id(request), List { mask: request.buckets, keys });
     }
 
-    /// Tells whether the list that `request` names is held.
+    /// Tells whether the list that `request` names is held for all requested buckets.
     pub fn holds(&self, request: &KeyListRequest) -> bool {
         let wanted = request.buckets;
         self.lists.get(&list_id(request)).is_some_and(|list| list.mask & wanted == wanted)
     }
 
-    /// Answers a request for a list of another entry.
+    /// Answers a request for a page of another entry's list.
     pub fn page(&self, request: &KeyListRequest) -> KeyListReply {
         match self.lists.get(&list_id(request)) {
             Some(list) if self.holds(request) => match request.after {
@@ -75,7 +78,8 @@
         }
     }
 
-    /// Tells whether a witness dispatched a key before a move; `None` without its list.
+    /// Tells whether a witness dispatched a key before a move. Returns `None` if the witness's list
+    /// is not held or does not cover the key's bucket.
     pub fn dispatched(
         &self,
         service: &str,
@@ -89,24 +93,24 @@
         covered.then(|| list.keys.contains(&hash_of(key)))
     }
 
-    /// Tells whether any list of a service has the key.
+    /// Tells whether any held list of a service contains the key.
     pub fn contains(&self, service: &str, key: &[u8]) -> bool {
         let hash = hash_of(key);
         self.lists.iter().any(|((name, ..), list)| name == service && list.keys.contains(&hash))
     }
 
-    /// Returns the hashes in all lists of an entry.
+    /// Returns the hashes in all held lists of one entry's keys, over all its incarnations.
     pub fn hashes(&self, service: &str, entry: &str) -> Vec<KeyHash> {
         let own = self.lists.iter().filter(|((name, _, e, _), _)| name == service && e == entry);
         own.flat_map(|(_, list)| list.keys.iter().copied()).collect()
     }
 
-    /// Drops the lists of moves for which `is_current` does not hold.
+    /// Drops the lists of a service's moves for which `is_current` returns false.
     pub fn retain(&mut self, service: &str, is_current: impl Fn(Generation) -> bool) {
         self.lists.retain(|(name, generation, ..), _| name != service || is_current(*generation));
     }
 
-    /// Drops all lists.
+    /// Drops all held lists.
     pub fn clear(&mut self) {
         self.lists.clear();
     }
--- a/crates/core/src/keys/plan.rs
+++ b/crates/core/src/keys/plan.rs
@@ -1,4 +1,4 @@
-//! Plans the moves of buckets.
+//! Plans which buckets move to new holders, and when moved buckets open.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -12,52 +12,57 @@
 use crate::time::{self, Time};
 
 /// Time for which a holder has to be missing before its buckets move, in addition to the expiry of
-/// its announcements. Covers an entry that has just started and an agent that reconnects.
+/// its announcements. Allows an agent to reconnect and an entry that has just started to hear it.
 const MISSING_GRACE: Duration = Duration::from_secs(2);
-/// As above, for a holder that has never announced itself to this entry. A restarted entry is
-/// found by agents only after another entry has listed its record and told them, which takes
-/// several rounds when the store fails; with 2 s, it moved the buckets of live holders.
+/// Time for which a holder that this entry has never heard has to be missing before its buckets
+/// move. Agents find a restarted entry only after another entry has listed its record and told
+/// them, which takes several rounds when the store fails. With 2 s, a restarted entry moved the
+/// buckets of live holders.
 const UNHEARD_GRACE: Duration = Duration::from_secs(10);
-/// Time between the first upstream of a service and the assignment of its buckets. Upstreams that
-/// start together then share the buckets.
+/// Time between the first live agent of a service and the first assignment of its buckets, so that
+/// agents which start together share the buckets.
 const ASSIGNMENT_DELAY: Duration = Duration::from_secs(3);
 
-/// What the planner looks at for one service.
+/// State of one service as this entry sees it, from which [`Planner`] plans moves.
 ///
-/// `map` has to be read from the store before `records` are listed: an entry that is not among the
-/// records then reads this map, or a later one, before it dispatches anything.
+/// `map` has to be read from the store before `records` are listed. An entry that is not among the
+/// records then reads this map, or a later one, before it dispatches a key.
 #[derive(Debug)]
 pub struct ServiceView<'a> {
     pub service: &'a str,
+    /// Current key map of the service.
     pub map: &'a KeyMap,
-    /// Holders that take new work, in a stable order.
+    /// Agent incarnations that accept new work, in a stable order.
     pub live: &'a [Holder],
-    /// Holders that have announced that they are leaving; their buckets move at once.
+    /// Agent incarnations that are shutting down; their buckets move without a grace time.
     pub leaving: &'a [Holder],
-    /// Records of all entries, with the time since their last heartbeat.
+    /// Records of all entries, each with the time since its last heartbeat.
     pub records: &'a [(EntryRecord, Duration)],
-    /// Moves that have been open for the whole retention.
+    /// Generations of moves that this entry has seen open for the retention.
     pub expired_moves: &'a [Generation],
 }
 
-/// Plans the moves of buckets as seen by one entry.
+/// Plans the moves of buckets, as one entry sees holders and entries.
 #[derive(Debug)]
 pub struct Planner {
+    /// Time for which an entry may dispatch keys without contact to the store.
     outage_hold: Duration,
+    /// Time since which each holder in a key map is not live.
     missing_since: HashMap<(ServiceId, Holder), Time>,
-    /// Holders in the map that were live once.
+    /// Holders in a key map that this entry has seen live.
     seen_live: HashSet<(ServiceId, Holder)>,
+    /// Time since which each service has had a live agent.
     first_live: HashMap<ServiceId, Time>,
 }
 
-/// Returns the entry that moves the buckets of `service`. Entries that disagree about who is
-/// alive may both try; the compare-and-swap on the map lets one of them win.
+/// Returns the entry that plans the moves of `service`. Entries that disagree about which entries
+/// are alive may both try; the compare-and-swap on the key map lets one of them succeed.
 pub fn coordinator<'a>(service: &str, alive: &'a [EntryView]) -> Option<&'a EntryView> {
     alive.iter().max_by_key(|view| hash::rendezvous(service.as_bytes(), view.entry.as_bytes()))
 }
 
 impl Planner {
-    /// Builds a planner that has seen nothing.
+    /// Builds a planner that has seen no holders yet.
     pub fn new(outage_hold: Duration) -> Self {
         Planner {
             outage_hold,
@@ -67,8 +72,8 @@
         }
     }
 
-    /// Returns the next map, to be written by compare-and-swap, or `None` when nothing is to do.
-    /// [`Planner::watch`] has to be called with the same view before.
+    /// Returns the next key map, to be written by compare-and-swap, or `None` when it does not
+    /// change. [`Planner::track_holders`] has to be called with the same view first.
     pub fn plan(&mut self, now: Time, view: &ServiceView<'_>) -> Option<KeyMap> {
         if view.map.buckets.is_empty() {
             return self.assign(now, view);
@@ -89,9 +94,8 @@
         changed.then_some(map)
     }
 
-    /// Updates the times since which holders are missing and services have upstreams. Called in
-    /// each round, also by entries that do not move the service's buckets, since they may have to
-    /// later.
+    /// Updates the times since which holders are missing and services have live agents. Every entry
+    /// calls this in each round, since any of them may have to plan the service's moves later.
     pub fn track_holders(&mut self, now: Time, view: &ServiceView<'_>) {
         match view.live.is_empty() {
             true => self.first_live.remove(view.service),
@@ -114,13 +118,14 @@
         }
     }
 
+    /// Returns the first assignment of all buckets, once [`ASSIGNMENT_DELAY`] has passed.
     fn assign(&self, now: Time, view: &ServiceView<'_>) -> Option<KeyMap> {
         let first_live = self.first_live.get(view.service)?;
         if now.saturating_sub(*first_live) < ASSIGNMENT_DELAY {
             return None;
         }
         let generation = view.map.generation + 1;
-        // No entry dispatches keys of a service without a map, so there is nobody to wait for.
+        // No entry dispatches keys of a service without a key map, so the buckets open at once.
         let buckets = (0..BUCKETS)
             .map(|index| {
                 let holder = choose_holder(view, index)?;
@@ -130,6 +135,7 @@
         Some(KeyMap { generation, buckets, moves: Default::default() })
     }
 
+    /// Returns the buckets whose holder has restarted, is leaving or has been missing too long.
     fn lost_buckets(&self, now: Time, view: &ServiceView<'_>) -> Vec<BucketIndex> {
         let is_lost = |holder: &Holder| {
             let restarted = view.live.iter().any(|live| live.agent == holder.agent);
@@ -143,6 +149,7 @@
         buckets.filter(|(_, bucket)| is_lost(&bucket.holder)).map(|(index, _)| index).collect()
     }
 
+    /// Opens the moving buckets whose move each entry has acknowledged. Tells whether any opened.
     fn open_buckets(&self, map: &mut KeyMap, view: &ServiceView<'_>) -> bool {
         let mut changed = false;
         for bucket in map.buckets.iter_mut().filter(|bucket| bucket.phase == Phase::Moving) {
@@ -162,7 +169,7 @@
         changed
     }
 
-    /// Tells whether an entry certainly no longer dispatches to the holders before `generation`.
+    /// Tells whether an entry certainly no longer dispatches to holders from before `generation`.
     fn acknowledged(
         &self,
         view: &ServiceView<'_>,
@@ -176,12 +183,12 @@
     }
 }
 
-/// Lists the entries that may have dispatched keys within the retention.
+/// Returns the entries that may have dispatched keys within the retention, ordered by name.
 pub fn witnesses(outage_hold: Duration, records: &[(EntryRecord, Duration)]) -> Vec<Witness> {
     let retention = time::lease_wait(RETENTION);
     let relevant = |record: &EntryRecord, silent: Duration| match record.stopped {
         true => silent < retention,
-        // It may have dispatched without the store for the length of the outage hold.
+        // An entry may dispatch without contact to the store for the length of the outage hold.
         false => silent < time::lease_wait(outage_hold) + retention,
     };
     let mut witnesses: Vec<_> = records
@@ -198,9 +205,9 @@
     witnesses
 }
 
-/// Combines the witnesses at the begin of a move with those of a later time. An incarnation that
-/// ended in between stays a witness, since its list may have been fetched; the incarnation that
-/// directly followed it then needs no longer memory than its own.
+/// Combines the witnesses at the beginning of a move with those at its opening. An incarnation that
+/// ended in between stays a witness, since its list may have been fetched. Its direct successor
+/// then counts as complete, although its table covers only its own lifetime.
 pub fn merge_witnesses(initial: &[Witness], mut current: Vec<Witness>) -> Vec<Witness> {
     let find = |entry: &str, incarnation| {
         initial.iter().find(|w| w.entry == entry && w.incarnation == incarnation)
@@ -218,6 +225,7 @@
     current
 }
 
+/// Assigns the lost buckets to live holders, in a new generation and in [`Phase::Moving`].
 fn begin_moves(
     map: &mut KeyMap,
     view: &ServiceView<'_>,
@@ -235,12 +243,14 @@
     true
 }
 
+/// Drops the witnesses of expired moves. Tells whether there were any.
 fn drop_expired(map: &mut KeyMap, expired_moves: &[Generation]) -> bool {
     let before = map.moves.len();
     map.moves.retain(|generation, _| !expired_moves.contains(generation));
     map.moves.len() != before
 }
 
+/// Chooses the holder of a bucket among the live agents by rendezvous hashing.
 fn choose_holder(view: &ServiceView<'_>, index: BucketIndex) -> Option<Holder> {
     let key = format!("{}/{index}", view.service);
     let weight = |holder: &&Holder| hash::rendezvous(key.as_bytes(), holder.agent.as_bytes());
--- a/crates/core/src/keys/recovered.rs
+++ b/crates/core/src/keys/recovered.rs
@@ -1,8 +1,9 @@
-//! Keys that the process before a restart of an entry dispatched.
+//! Keys that an entry dispatched before a restart, recovered by its next incarnation.
 //!
-//! The holders of the buckets know which of its requests they ran, and refuse those that arrive
-//! later; the lists of moves name what it had dispatched to older holders. Together they replace
-//! the table that was lost with the process.
+//! The table of dispatched keys is lost with a process. It is replaced by two sources: the key
+//! tables of the current holders, which know the keys that they ran and refuse requests of the
+//! ended process that arrive later, and the lists of keys that the ended process had dispatched
+//! to older holders before moves.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -12,20 +13,21 @@
 use crate::message::entry::{KeyListRequest, TableKey};
 use crate::time::{self, Time};
 
-/// A dispatch by an earlier incarnation.
+/// An earlier dispatch of a key by this or the previous incarnation of an entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PriorDispatch {
-    /// `None` for a holder before the current one.
+    /// Holder that received the key, or `None` if it is only known to be an older one.
     pub holder: Option<Holder>,
+    /// Generation of the key's bucket at the dispatch, or 0 if it is not known.
     pub generation: Generation,
-    /// `None` when it is not known.
+    /// Bucket of the key, or `None` if it is not known.
     bucket: Option<u8>,
-    /// Still running when it was taken over: its retention has not begun.
+    /// The key was still running when it was recovered, so its retention had not begun.
     running: bool,
 }
 
 impl PriorDispatch {
-    /// Builds the dispatch by this incarnation.
+    /// Builds a prior dispatch from this incarnation's own record.
     pub fn new(own: &DispatchRecord) -> Self {
         let DispatchRecord { holder, generation, .. } = own;
         PriorDispatch {
@@ -37,42 +39,43 @@
     }
 }
 
-/// What an entry has taken over from its predecessor.
+/// Keys that an entry has recovered from its previous incarnation.
 #[derive(Debug, Default)]
 pub struct RecoveredKeys {
-    /// The incarnation before, if its own table was complete.
+    /// Previous incarnation, if its table of dispatched keys was complete.
     predecessor: Option<Incarnation>,
-    /// Buckets of each service that are taken over; bit `n` stands for bucket `n`.
+    /// Bit mask of the recovered buckets of each service; bit `n` stands for bucket `n`.
     buckets_done: BTreeMap<ServiceId, u64>,
+    /// All buckets of all services are recovered.
     complete: bool,
     keys: HashMap<ServiceId, HashMap<KeyHash, PriorDispatch>>,
-    /// When the last keys were taken over.
+    /// Time at which keys were last added from a holder's table.
     last_added: Time,
 }
 
 impl RecoveredKeys {
-    /// Sets the incarnation before this one.
+    /// Sets the previous incarnation, whose keys are to be recovered.
     pub fn set_predecessor(&mut self, predecessor: Incarnation) {
         self.predecessor = Some(predecessor);
     }
 
-    /// Returns the incarnation whose keys are to be taken over, if that is not done yet.
+    /// Returns the previous incarnation until all its keys are recovered.
     pub fn pending(&self) -> Option<Incarnation> {
         self.predecessor.filter(|_| !self.complete)
     }
 
-    /// Tells whether everything is taken over.
+    /// Tells whether all buckets of all services are recovered.
     pub fn is_complete(&self) -> bool {
         self.complete
     }
 
-    /// Returns a key's dispatch.
+    /// Returns the recovered dispatch of a key.
     pub fn get(&self, service: &str, key: &[u8]) -> Option<&PriorDispatch> {
         self.keys.get(service)?.get(&lists::hash_of(key))
     }
 
-    /// Iterates over the hashes of a service, but those of other buckets than `mask` and those of
-    /// `generation`.
+    /// Iterates over the hashes of a service's recovered keys that are in the buckets of `mask`, or
+    /// in an unknown bucket, and were not dispatched in `generation`.
     pub fn hashes_before<'a>(
         &'a self,
         service: &str,
@@ -87,12 +90,12 @@
         keys.filter(move |(_, prior)| listed(prior)).map(|(hash, _)| *hash)
     }
 
-    /// Tells whether a bucket is taken over.
+    /// Tells whether the keys of a bucket are recovered.
     pub fn has_bucket(&self, service: &str, index: BucketIndex) -> bool {
         self.buckets_done.get(service).is_some_and(|mask| mask & (1 << index) != 0)
     }
 
-    /// Takes over `buckets`, which `holder` holds, with the holder's whole table.
+    /// Adds the keys of `buckets`, all assigned to `holder`, from the holder's complete key table.
     pub fn add_table(
         &mut self,
         now: Time,
@@ -117,7 +120,7 @@
         *mask |= buckets.iter().fold(0, |mask, index| mask | (1 << index));
     }
 
-    /// Takes over the keys of a list of the predecessor.
+    /// Adds key hashes that the previous incarnation dispatched to older holders.
     pub fn add_list(&mut self, service: &str, hashes: Vec<KeyHash>) {
         let keys = self.keys.entry(service.to_owned()).or_default();
         for hash in hashes {
@@ -126,12 +129,12 @@
         }
     }
 
-    /// Notes that all buckets of all services are taken over.
+    /// Records that all buckets of all services are recovered.
     pub fn set_complete(&mut self) {
         self.complete = true;
     }
 
-    /// Forgets keys after the retention.
+    /// Removes the keys that had ended before the recovery, once the retention has passed since.
     pub fn prune(&mut self, now: Time) {
         if now.saturating_sub(self.last_added) >= time::lease_wait(RETENTION) {
             for keys in self.keys.values_mut() {
@@ -141,18 +144,19 @@
     }
 }
 
-/// How the older holders of a bucket matter to an entry that takes over its predecessor's keys.
+/// Whether the keys that a restarted entry had dispatched to older holders of a bucket are known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListState {
-    /// All that the predecessor dispatched to them is in lists that are held.
+    /// This entry holds the complete lists of these keys.
     Held,
-    /// A list is lacking.
+    /// A list of these keys exists but is not fetched yet.
     Missing,
-    /// The bucket moved after the predecessor had ended, and its keys cannot be known.
+    /// The bucket moved after the previous incarnation had ended, so the keys are lost.
     Lost,
 }
 
-/// Tells how the holders before the current one of a bucket matter to an incarnation of `entry`.
+/// Returns whether the keys that earlier incarnations of `entry` dispatched to older holders of a
+/// bucket are known from the `held` lists.
 pub fn list_state(
     service: &str,
     map: &KeyMap,
@@ -185,7 +189,7 @@
     }
 }
 
-/// Returns the buckets of a map that `holder` holds.
+/// Returns the buckets that `map` assigns to `holder`.
 pub fn held_by(map: &KeyMap, holder: &Holder) -> Vec<BucketIndex> {
     (0..BUCKETS)
         .filter(|index| map.buckets.get(*index).is_some_and(|b| b.holder == *holder))
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -1,4 +1,6 @@
-//! Liveness of entries from their heartbeats in the store.
+//! Detects which entries are alive from their heartbeats in the store.
+//!
+//! Each entry writes its record periodically, and lists the records of all entries.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -8,31 +10,34 @@
 use crate::id::{DataCentreId, EntryId, Incarnation, ServiceId};
 use crate::time::Time;
 
-/// Time between two heartbeats, and between two lists.
+/// Time between two heartbeats of an entry, and between two of its lists of all records.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
-/// Time after which a failed heartbeat is tried again. With a whole period in between, a few short
-/// outages that each cover one heartbeat made an entry dead.
+/// Time after which a failed heartbeat is retried. With a whole [`HEARTBEAT_INTERVAL`], a few short
+/// outages that each covered one heartbeat made an entry count as dead.
 pub const HEARTBEAT_RETRY: Duration = Duration::from_millis(500);
-/// A longer time between two successful lists is an outage of the store and does not count.
+/// Maximum time between two successful lists that counts as silence of an entry. A longer gap is an
+/// outage of the store.
 const LIST_GAP_LIMIT: Duration = Duration::from_secs(4);
-/// The record `entries/<id>` in the store.
+/// Record of an entry in the store, under `entries/<id>`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryRecord {
     pub entry: EntryId,
     pub incarnation: Incarnation,
-    /// Rises with each heartbeat.
+    /// Number of the heartbeat, which rises with each write.
     pub counter: u64,
+    /// Address for HTTP requests.
     pub http: String,
+    /// Address for messages between processes, as IP and port.
     pub internal: String,
     pub data_centre: DataCentreId,
-    /// Key map generations that the entry has adopted.
+    /// Generation of each key map up to which the entry acknowledges moves.
     pub adopted: BTreeMap<ServiceId, u64>,
-    /// The table of dispatched keys covers the whole retention, also across a restart.
+    /// The entry's table of dispatched keys covers the whole retention, also across a restart.
     pub complete: bool,
-    /// Incarnation whose record this one replaced.
+    /// Previous incarnation of the entry, whose record this one replaced.
     #[serde(default)]
     pub predecessor: Option<Incarnation>,
-    /// The entry may dispatch keys, since the others know its name.
+    /// The entry may dispatch keys, since the other entries know its name.
     #[serde(default)]
     pub joined: bool,
     /// The entry has ended after a graceful shutdown.
@@ -49,33 +54,36 @@
     pub data_centre: DataCentreId,
 }
 
+/// The last seen record of an entry and the time since it changed.
 #[derive(Debug)]
 struct Member {
     record: EntryRecord,
-    /// Time without an advance of the counter, counted over successful lists only.
+    /// Time without a new heartbeat, counted over successful lists only.
     silent: Duration,
-    /// Time of the list that saw the last advance.
+    /// Time of the list that showed the last new heartbeat.
     advanced: Time,
 }
 
-/// Entries as seen by one of them.
+/// The entries and their liveness, as one entry sees them.
 #[derive(Debug)]
 pub struct Members {
+    /// Silence after which an entry counts as dead.
     dead_after: Duration,
     members: HashMap<EntryId, Member>,
+    /// Time of the last successful list.
     last_listed: Option<Time>,
 }
 
 impl Members {
-    /// Builds an empty view.
+    /// Builds a view without entries.
     pub fn new(dead_after: Duration) -> Self {
         Members { dead_after, members: HashMap::new(), last_listed: None }
     }
 
-    /// Takes the records of a successful list.
+    /// Applies the records of a successful list.
     ///
-    /// Lists are passed only after a successful heartbeat of the observer: when the store answers
-    /// reads but no writes, all counters stand still and nobody is dead.
+    /// Must be called only after a successful heartbeat of the observing entry: while the store
+    /// accepts reads but no writes, no counter advances, and no entry may count as dead.
     pub fn observe(&mut self, now: Time, records: Vec<EntryRecord>) {
         let gap = now.saturating_sub(self.last_listed.unwrap_or(now));
         let counted = if gap <= LIST_GAP_LIMIT { gap } else { Duration::ZERO };
@@ -83,7 +91,9 @@
         self.members.retain(|entry, _| records.iter().any(|record| record.entry == *entry));
         for record in records {
             match self.members.get_mut(&record.entry) {
-                Some(member) if !member.record.has_advanced(&record) => member.silent += counted,
+                Some(member) if !member.record.differs_from(&record) => {
+                    member.silent += counted
+                }
                 _ => {
                     let member = Member { silent: Duration::ZERO, advanced: now, record };
                     self.members.insert(member.record.entry.clone(), member);
@@ -92,7 +102,7 @@
         }
     }
 
-    /// Lists the entries that are alive, ordered by name.
+    /// Returns the entries that are alive, ordered by name.
     pub fn alive(&self) -> Vec<EntryView> {
         let mut views: Vec<_> = self
             .members
@@ -109,7 +119,7 @@
         views
     }
 
-    /// Lists all records with the real time since their last advance, outages included.
+    /// Iterates over all records with the time since their last new heartbeat, outages included.
     pub fn records(&self, now: Time) -> impl Iterator<Item = (&EntryRecord, Duration)> {
         self.members
             .values()
@@ -121,14 +131,15 @@
         self.last_listed
     }
 
-    /// Returns the record of one entry.
+    /// Returns the last seen record of an entry.
     pub fn record(&self, entry: &str) -> Option<&EntryRecord> {
         self.members.get(entry).map(|member| &member.record)
     }
 }
 
 impl EntryRecord {
-    fn has_advanced(&self, other: &EntryRecord) -> bool {
+    /// Tells whether two records come from different heartbeats.
+    fn differs_from(&self, other: &EntryRecord) -> bool {
         (self.incarnation, self.counter) != (other.incarnation, other.counter)
     }
 }
--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -1,4 +1,5 @@
-//! Table of upstreams, choice of an upstream and retry budget of an entry.
+//! Routing of requests in an entry: the table of upstreams, the choice of an upstream and the retry
+//! budget.
 
 pub mod budget;
 pub mod table;
--- a/crates/core/src/routing/table.rs
+++ b/crates/core/src/routing/table.rs
@@ -1,4 +1,8 @@
-//! Upstreams as announced by their agents.
+//! Table of upstreams and choice of an upstream for a request.
+//!
+//! An upstream is an agent that receives requests from entries. It announces its state, services
+//! and load to the entries about once a second. The cost of an upstream is the estimated wait for
+//! an answer, raised by its recent share of failures.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -9,40 +13,43 @@
 use crate::message::announce::{AgentState, Announce, ServiceLoad};
 use crate::time::Time;
 
-/// Time after the last announcement at which an upstream receives no more work.
+/// Time after its last announcement at which an upstream receives no more work.
 pub const EXPIRY: Duration = Duration::from_secs(3);
-/// Time for which the last sequence of a silent agent is kept, so that a delayed announcement
-/// cannot bring it back.
+/// Time for which a silent agent and its last sequence number are kept, so that a delayed
+/// announcement cannot make the agent eligible again.
 const SILENCE_RETENTION: Duration = Duration::from_secs(60);
-/// An unused latency estimate halves in this time, so that a slow upstream is tried again.
+/// Time in which a latency estimate without new samples halves, so that a slow upstream is tried
+/// again.
 const LATENCY_HALF_LIFE: Duration = Duration::from_secs(10);
-/// The share of failures halves in this time without outcomes.
+/// Time in which a failure rate without new outcomes halves.
 const FAILURE_HALF_LIFE: Duration = Duration::from_secs(5);
-/// Share of a new sample in the smoothed latency.
+/// Weight of a new sample in the smoothed latency.
 const LATENCY_WEIGHT: f64 = 0.2;
-/// Share of a new announcement in the smoothed load of other entries. An unsmoothed count is up to
-/// 1 s old, in which all entries send to the upstreams that happened to be idle at that moment.
+/// Weight of a new announcement in the smoothed number of other entries' requests. An announced
+/// count is up to 1 s old; without smoothing, all entries send to the upstreams that were idle at
+/// the time of the announcement.
 const OTHER_REQUESTS_WEIGHT: f64 = 0.2;
-/// Share of a new outcome in the smoothed share of failures. When failures were counted instead,
-/// one missed deadline in a thousand requests raised the cost of a healthy upstream 20 times.
+/// Weight of a new outcome in the smoothed failure rate. With a count of failures instead of a
+/// rate, one missed deadline in a thousand requests raised the cost of a healthy upstream 20 times.
 const FAILURE_WEIGHT: f64 = 0.02;
-/// Cost factor of an upstream that fails always. An error that returns in 1 ms must not look
-/// better than an answer in 50 ms.
+/// Cost factor of an upstream whose requests all fail. An error after 1 ms must cost more than an
+/// answer after 50 ms.
 const FAILURE_COST: f64 = 1_000.0;
-/// Consecutive failures after which an upstream is ejected. Chance alone, at 1% failures, causes
-/// such a run once in 10 billion requests.
+/// Consecutive failures after which an upstream is ejected: it receives no requests for a while.
+/// With 1% independent failures, such a streak occurs once in 10 billion requests.
 const EJECTION_STREAK: u32 = 5;
-/// Length of the first ejection. It doubles each time that the upstream fails again after it.
+/// Length of the first ejection, which doubles with each ejection that follows without an answer.
 const EJECTION_MIN: Duration = Duration::from_secs(1);
+/// Maximum length of an ejection.
 const EJECTION_MAX: Duration = Duration::from_secs(30);
-/// Floor of the latency estimate; below it, differences are measurement noise.
+/// Minimum latency estimate in seconds; differences below it are measurement noise.
 const LATENCY_FLOOR_S: f64 = 0.000_5;
-/// Earlier incarnations of an agent that are remembered.
+/// Maximum number of replaced incarnations that are remembered per agent.
 const REPLACED_LIMIT: usize = 8;
-/// Random draws before the eligible upstreams are enumerated.
+/// Number of random draws after which the eligible upstreams are enumerated instead.
 const DRAW_LIMIT: usize = 8;
 
-/// An upstream that was chosen for a request.
+/// The agent incarnation that was chosen for a request, with its address.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Target {
     pub agent: AgentId,
@@ -53,59 +60,67 @@
 /// How a request to an upstream ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Feedback {
-    /// The head of an answer without a server error arrived after this time.
+    /// The response head arrived after this time, without a server error.
     Answered(Duration),
-    /// A server error or an unknown outcome.
+    /// The response was a server error, or the outcome is unknown.
     Failed,
-    /// Refused for lack of capacity. Raises the cost, but never ejects an upstream: that would
-    /// move its load to others that are overloaded as well.
+    /// The upstream refused the request for lack of capacity. Raises its cost but never ejects it,
+    /// since that would move its load to other overloaded upstreams.
     Refused,
-    /// The connection failed; the upstream is demoted until its next announcement.
+    /// The connection failed. The upstream is not chosen until its next announcement.
     Unreachable,
-    /// The caller gave up; says nothing about the upstream.
+    /// The caller gave up, which says nothing about the upstream.
     Abandoned,
 }
 
-/// An upstream as shown to operators.
+/// State of an upstream as shown to operators.
 #[derive(Debug, Clone, Serialize)]
 pub struct UpstreamView {
     pub agent: AgentId,
     pub incarnation: Incarnation,
     pub address: String,
     pub data_centre: DataCentreId,
+    /// One of `ready`, `leaving`, `expired` and `unreachable`.
     pub state: &'static str,
     pub services: Vec<ServiceId>,
+    /// Requests of this entry in flight to the upstream.
     pub in_flight: u32,
     pub config_version: u64,
+    /// Time since the last announcement in milliseconds.
     pub heard_ms: u64,
 }
 
+/// Load, latency and failures of one service on one upstream.
 #[derive(Debug)]
 struct ServiceStats {
+    /// Load as last announced.
     load: ServiceLoad,
     /// Requests of this entry in flight.
     in_flight: u32,
-    /// Requests of other entries, smoothed over announcements.
+    /// Running and queued requests of other entries, smoothed over announcements.
     other_requests: f64,
-    /// Smoothed latency in seconds, as of `updated`.
+    /// Smoothed latency in seconds, as of `latency_updated`.
     latency: f64,
     latency_updated: Time,
-    /// Smoothed share of failures, as of `judged`.
+    /// Smoothed share of failed requests from 0 to 1, as of `failure_rate_updated`.
     failure_rate: f64,
     failure_rate_updated: Time,
-    /// Failures since the last answer.
+    /// Consecutive failures since the last answer.
     failure_streak: u32,
     /// Ejections since the last answer.
     ejections: u32,
     ejected_until: Time,
 }
 
+/// The known incarnation of an agent.
 #[derive(Debug)]
 struct Upstream {
     announce: Announce,
+    /// Time of the last announcement.
     last_heard: Time,
+    /// A connection failed since the last announcement.
     demoted: bool,
-    /// Earlier incarnations of the agent with their last sequence, the latest last.
+    /// Earlier incarnations of the agent with their last sequence number, the latest last.
     replaced: Vec<(Incarnation, u64)>,
     stats: HashMap<ServiceId, ServiceStats>,
 }
@@ -114,12 +129,13 @@
 #[derive(Debug, Default)]
 pub struct UpstreamTable {
     upstreams: HashMap<AgentId, Upstream>,
+    /// Agents that announce each service.
     services: HashMap<ServiceId, Vec<AgentId>>,
 }
 
 impl UpstreamTable {
-    /// Takes an announcement that arrived at `now`, or, when it was relayed, that reached its
-    /// first entry at `now`. Tells whether it was newer than what is known.
+    /// Applies an announcement that arrived at `now` or, if it was relayed, reached the relaying
+    /// entry at `now`. Tells whether the announcement was newer than the known one.
     pub fn announce(&mut self, now: Time, announce: Announce) -> bool {
         if self.upstreams.get(&announce.agent).is_some_and(|known| known.supersedes(now, &announce))
         {
@@ -145,7 +161,7 @@
                 }
             }
         }
-        // The index is scanned only when the services of the agent change.
+        // Indexing scans all services, so it runs only when the agent's services change.
         if !is_indexed {
             self.index_services(&agent, &announce);
         }
@@ -154,7 +170,7 @@
         true
     }
 
-    /// Drops agents that have been silent for a long time.
+    /// Drops agents that have been silent for [`SILENCE_RETENTION`].
     pub fn prune(&mut self, now: Time) {
         self.upstreams
             .retain(|_, upstream| now.saturating_sub(upstream.last_heard) < SILENCE_RETENTION);
@@ -172,7 +188,7 @@
         }
     }
 
-    /// Records the result of the request, as soon as it is known.
+    /// Records how a request of this entry to `target` ended, as soon as that is known.
     pub fn record_feedback(
         &mut self,
         now: Time,
@@ -197,7 +213,7 @@
         }
     }
 
-    /// Records that the request of this entry is no longer in flight.
+    /// Records that a request of this entry to `target` is no longer in flight.
     pub fn end(&mut self, target: &Target, service: &str) {
         if let Some(stats) = self.stats_mut(target, service) {
             stats.in_flight = stats.in_flight.saturating_sub(1);
@@ -205,7 +221,7 @@
     }
 
     /// Chooses the cheaper of two random eligible upstreams of `service` that are not in `tried`.
-    /// Ejected ones are chosen only if there are no others.
+    /// Ejected upstreams are chosen only if there are no others.
     pub fn choose(
         &self,
         now: Time,
@@ -244,7 +260,7 @@
         fits.then(|| self.target(agent)).flatten()
     }
 
-    /// Returns the eligible agents of each service with their incarnation.
+    /// Returns the live agents of each service with their incarnation, unreachable ones included.
     pub fn eligible(&self, now: Time) -> HashMap<ServiceId, Vec<(AgentId, Incarnation)>> {
         let mut result: HashMap<_, Vec<_>> = HashMap::new();
         for (agent, upstream) in self.upstreams.iter().filter(|(_, u)| u.is_live(now)) {
@@ -256,7 +272,7 @@
         result
     }
 
-    /// Returns the agents that have announced that they are leaving.
+    /// Returns the agents that have announced that they are shutting down.
     pub fn leaving(&self) -> Vec<(AgentId, Incarnation)> {
         self.upstreams
             .values()
@@ -265,13 +281,14 @@
             .collect()
     }
 
-    /// Lists the upstreams for operators.
+    /// Returns the state of all upstreams for operators, ordered by agent.
     pub fn views(&self, now: Time) -> Vec<UpstreamView> {
         let mut views: Vec<_> = self.upstreams.values().map(|u| u.view(now)).collect();
         views.sort_by(|a, b| a.agent.cmp(&b.agent));
         views
     }
 
+    /// Updates the agents of each service for an agent whose services have changed.
     fn index_services(&mut self, agent: &AgentId, announce: &Announce) {
         for (service, agents) in &mut self.services {
             if !announce.services.iter().any(|load| load.service == *service) {
@@ -295,8 +312,9 @@
         stats.is_some_and(|stats| now < stats.ejected_until)
     }
 
-    /// Ejects an upstream that only fails, unless half of the upstreams are ejected already: then
-    /// the cause is probably elsewhere, and the others could not take the load.
+    /// Ejects an upstream with a streak of failures, unless that would eject more than half of the
+    /// service's upstreams: the cause is then probably elsewhere, and the others could not take
+    /// the load.
     fn eject(&mut self, now: Time, target: &Target, service: &str) {
         if !self.stats_mut(target, service).is_some_and(|stats| stats.is_failing(now)) {
             return;
@@ -311,6 +329,7 @@
         }
     }
 
+    /// Returns the cost of an upstream, or infinity when its service is not known.
     fn cost(&self, now: Time, agent: &str, service: &str) -> f64 {
         match self.upstreams.get(agent).and_then(|upstream| upstream.stats.get(service)) {
             Some(stats) => stats.cost(now),
@@ -327,6 +346,7 @@
         })
     }
 
+    /// Returns the statistics of a service, unless the agent has another incarnation by now.
     fn stats_mut(&mut self, target: &Target, service: &str) -> Option<&mut ServiceStats> {
         let upstream = self.upstreams.get_mut(&target.agent)?;
         match upstream.announce.incarnation == target.incarnation {
@@ -336,7 +356,7 @@
     }
 }
 
-/// Draws one of the agents that fit.
+/// Draws a random agent for which `fits` holds.
 fn draw_agent<'a>(
     agents: &'a [AgentId],
     fits: impl Fn(&AgentId) -> bool,
@@ -356,9 +376,10 @@
 }
 
 impl Upstream {
-    /// Tells whether `announce` is older than what is known. Incarnations have no order: one is
-    /// older if it was replaced here before. While the known incarnation is silent, a replaced one
-    /// is taken all the same, so that a wrong order of arrival is corrected within the expiry.
+    /// Tells whether `announce` is older than the known announcement. Incarnations have no order:
+    /// an incarnation is older if this entry saw it replaced. Once the known incarnation has been
+    /// silent for [`EXPIRY`], a replaced one with a newer announcement is accepted, which corrects
+    /// announcements that arrived in the wrong order.
     fn supersedes(&self, now: Time, announce: &Announce) -> bool {
         if announce.incarnation == self.announce.incarnation {
             return announce.sequence <= self.announce.sequence;
@@ -369,6 +390,7 @@
         })
     }
 
+    /// Returns the replaced incarnations once `next` replaces the known one.
     fn replaced_with(self, next: Incarnation) -> Vec<(Incarnation, u64)> {
         let mut replaced = self.replaced;
         replaced.retain(|(known, _)| *known != next);
@@ -379,10 +401,12 @@
         replaced
     }
 
+    /// Tells whether the upstream is ready and has announced itself within [`EXPIRY`].
     fn is_live(&self, now: Time) -> bool {
         self.announce.state == AgentState::Ready && now.saturating_sub(self.last_heard) < EXPIRY
     }
 
+    /// Tells whether the upstream is live and reachable.
     fn is_eligible(&self, now: Time) -> bool {
         self.is_live(now) && !self.demoted
     }
@@ -425,6 +449,7 @@
         }
     }
 
+    /// Applies a newly announced load.
     fn refresh(&mut self, load: &ServiceLoad) {
         let other_requests = f64::from((load.running + load.queued).saturating_sub(self.in_flight));
         self.other_requests += OTHER_REQUESTS_WEIGHT * (other_requests - self.other_requests);
@@ -450,14 +475,15 @@
         }
     }
 
+    /// Adds an outcome to the failure rate: 1 for a failure, 0 for an answer.
     fn record_outcome(&mut self, now: Time, failure: f64) {
         let known = self.failure_rate_at(now);
         self.failure_rate = known + FAILURE_WEIGHT * (failure - known);
         self.failure_rate_updated = now;
     }
 
-    /// Tells whether the upstream has to be ejected. Failures of requests that were sent before an
-    /// ejection do not prolong it.
+    /// Tells whether the upstream has to be ejected. Failures that arrive during an ejection do not
+    /// prolong it, since their requests were sent before.
     fn is_failing(&self, now: Time) -> bool {
         self.failure_streak >= EJECTION_STREAK && now >= self.ejected_until
     }
@@ -468,16 +494,19 @@
         self.ejections += 1;
     }
 
+    /// Returns the latency estimate in seconds, decayed to `now`.
     fn latency_at(&self, now: Time) -> f64 {
         let age = now.saturating_sub(self.latency_updated).as_secs_f64();
         self.latency * 0.5_f64.powf(age / LATENCY_HALF_LIFE.as_secs_f64())
     }
 
+    /// Returns the failure rate, decayed to `now`.
     fn failure_rate_at(&self, now: Time) -> f64 {
         let age = now.saturating_sub(self.failure_rate_updated).as_secs_f64();
         self.failure_rate * 0.5_f64.powf(age / FAILURE_HALF_LIFE.as_secs_f64())
     }
 
+    /// Returns the estimated wait in seconds, raised by the failure rate.
     fn cost(&self, now: Time) -> f64 {
         let waiting = f64::from(self.in_flight) + self.other_requests + 1.0;
         let latency = self.latency_at(now).max(LATENCY_FLOOR_S);
