--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -91,9 +91,7 @@
         self.members.retain(|entry, _| records.iter().any(|record| record.entry == *entry));
         for record in records {
             match self.members.get_mut(&record.entry) {
-                Some(member) if !member.record.differs_from(&record) => {
-                    member.silent += counted
-                }
+                Some(member) if !member.record.differs_from(&record) => member.silent += counted,
                 _ => {
                     let member = Member { silent: Duration::ZERO, advanced: now, record };
                     self.members.insert(member.record.entry.clone(), member);
--- a/crates/core/src/routing/table.rs
+++ b/crates/core/src/routing/table.rs
@@ -261,7 +261,7 @@
     }
 
     /// Returns the live agents of each service with their incarnation, unreachable ones included.
-    pub fn eligible(&self, now: Time) -> HashMap<ServiceId, Vec<(AgentId, Incarnation)>> {
+    pub fn live_agents(&self, now: Time) -> HashMap<ServiceId, Vec<(AgentId, Incarnation)>> {
         let mut result: HashMap<_, Vec<_>> = HashMap::new();
         for (agent, upstream) in self.upstreams.iter().filter(|(_, u)| u.is_live(now)) {
             for service in upstream.stats.keys() {
--- a/crates/core/tests/homes.rs
+++ b/crates/core/tests/homes.rs
@@ -1,5 +1,5 @@
-//! Guards against processes that disagree about the home entries of an agent, and against lists of
-//! entries that are sent again although the agent knows them.
+//! Guards against processes that disagree about the home entries of an agent, and against a digest
+//! that makes an entry send its list of entries to an agent that already knows it.
 
 use peridotfold_core::homes::{digest, homes, is_relaying, HOME_ENTRIES, RELAYING_ENTRIES};
 use peridotfold_core::message::announce::EntryAddress;
--- a/crates/core/tests/key_table.rs
+++ b/crates/core/tests/key_table.rs
@@ -1,5 +1,5 @@
-//! Guards against an idempotency key that runs twice, and against a duplicate that receives
-//! another answer than the first request.
+//! Checks the key table of an agent: guards against an idempotency key that runs twice, and against
+//! a duplicate that receives another answer than the first request.
 
 #[path = "support/schedules.rs"]
 mod schedules;
@@ -16,8 +16,11 @@
 use peridotfold_core::keys::lists::hash_of;
 use peridotfold_core::time::Time;
 
+/// Number of random schedules, each with its own seed.
 const SCHEDULES: u64 = 10_000;
+/// Steps of each schedule.
 const STEPS: usize = 300;
+/// Different keys in a schedule.
 const KEYS: usize = 12;
 
 fn key(number: usize) -> Bytes {
@@ -29,7 +32,7 @@
     Arc::new(Answer { status: 200, headers, body: Bytes::from(body) })
 }
 
-/// What a duplicate of a key may be told.
+/// Expected decision about a duplicate of a key.
 #[derive(Debug, Clone)]
 enum Expected {
     Running,
@@ -37,12 +40,14 @@
     Unknown,
 }
 
+/// A key table and the state that it is expected to have.
 struct Model {
     rng: fastrand::Rng,
     now: Time,
     table: KeyTable,
-    /// Expected state of each key, and when it ends.
+    /// Expected decision about each key, and the time at which it expires.
     keys: HashMap<Bytes, (Expected, Option<Time>)>,
+    /// Number of runs of each key.
     executions: HashMap<Bytes, u32>,
 }
 
@@ -151,8 +156,8 @@
     assert_eq!((table.len(), table.stored()), (1, 0));
 }
 
-/// Guards against a key that a restarted entry does not find in the pages of a holder's table: it
-/// would take the key for one that never ran.
+/// Guards against a key that is missing from the pages of a holder's table. A restarted entry that
+/// reads the pages would conclude that the key never ran.
 #[test]
 fn pages_name_every_key() {
     schedules::run(500, |seed| {
--- a/crates/core/tests/keys_world/entry.rs
+++ b/crates/core/tests/keys_world/entry.rs
@@ -1,4 +1,4 @@
-//! One entry of the world: its rounds, with each call of the store as a step of its own.
+//! A simulated entry, whose rounds are split into one step for each call to the store.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -13,9 +13,10 @@
 
 use super::{Agent, Store, OUTAGE_HOLD, SERVICE};
 
+/// Time after its last announcement at which an agent receives no more work.
 const EXPIRY: Duration = Duration::from_secs(3);
 
-/// The next step of a round.
+/// The next call to the store in a round.
 enum StoreCall {
     Heartbeat,
     ListMap { start: Duration },
@@ -23,22 +24,27 @@
     Plan { map: (u64, KeyMap) },
 }
 
+/// An entry with its connections and its view of entries and agents.
 pub struct Entry {
     pub name: String,
     pub incarnation: u64,
     pub up: bool,
     pub reaches_store: bool,
     pub reaches_entries: bool,
+    /// Whether the entry reaches each agent, by index.
     pub reaches: Vec<bool>,
     pub gate: KeyGate,
     members: Members,
-    /// Pages of lists that are not whole yet.
+    /// Key hashes of partly fetched lists, by generation, witness and the witness's incarnation.
     pages: BTreeMap<(u64, String, u64), BTreeSet<u128>>,
     planner: Planner,
     started: Duration,
+    /// Previous incarnation, as found in the store.
     predecessor: Option<u64>,
+    /// Number of heartbeats.
     counter: u64,
     next: StoreCall,
+    /// Last announcement of each agent, with its time.
     heard: BTreeMap<String, (Holder, Duration)>,
     leaving: Vec<Holder>,
 }
@@ -66,6 +72,7 @@
         }
     }
 
+    /// Receives an announcement of each agent that is up and reachable.
     pub fn receive_announcements(&mut self, now: Duration, agents: &[Agent]) {
         for (index, agent) in agents.iter().enumerate() {
             let name = agent.holder.agent.clone();
@@ -101,14 +108,15 @@
         self.gate.decide_probed(now, SERVICE, key, generation, results, is_live)
     }
 
-    /// Lists the entries that have to deny a key before it is reported as not run.
+    /// Returns the entries that must not have dispatched a key before it is reported as not run,
+    /// and the time at which they were listed.
     pub fn confirm_witnesses(&self, now: Duration) -> (Option<Duration>, Vec<Witness>) {
         let records = self.members.records(now);
         let records: Vec<_> = records.map(|(record, age)| (record.clone(), age)).collect();
         (self.members.last_listed(), witnesses(OUTAGE_HOLD, &records))
     }
 
-    /// Takes one page of a list that another entry sent; keeps the list when it is whole.
+    /// Receives one page of a list from another entry, and stores the list once it is complete.
     pub fn receive_page(&mut self, request: &KeyListRequest, reply: KeyListReply) {
         let KeyListReply::Page { keys, more } = reply else { return };
         let id = (request.generation, request.entry.clone(), request.incarnation);
@@ -120,7 +128,7 @@
         }
     }
 
-    /// Returns the requests for the next pages.
+    /// Returns requests for the next page of each list that the entry is missing.
     pub fn page_requests(&self, now: Duration) -> Vec<KeyListRequest> {
         let mut requests = self.gate.missing(now);
         for request in &mut requests {
@@ -130,7 +138,7 @@
         requests
     }
 
-    /// Performs the next call of the store. It may fail before or after it took effect.
+    /// Performs the next call to the store. The call may fail before or after it took effect.
     pub fn advance(&mut self, now: Duration, store: &mut Store, rng: &mut fastrand::Rng) {
         if !self.up {
             return;
@@ -166,7 +174,7 @@
         }
     }
 
-    /// Writes the last record of a graceful shutdown.
+    /// Shuts the entry down gracefully: writes its last record and stops.
     pub fn stop(&mut self, now: Duration, store: &mut Store) {
         if self.reaches_store {
             self.write_heartbeat(now, store, true);
@@ -205,6 +213,7 @@
         store.records.insert(self.name.clone(), (version, record));
     }
 
+    /// Plans moves, and writes the next key map unless the store has another version by now.
     fn plan(&mut self, now: Duration, store: &mut Store, map: (u64, KeyMap), reply_lost: bool) {
         let records: Vec<_> =
             self.members.records(now).map(|(record, silent)| (record.clone(), silent)).collect();
@@ -233,6 +242,7 @@
         }
     }
 
+    /// Returns the agent incarnations whose announcements have not expired.
     fn live(&self, now: Duration) -> Vec<Holder> {
         let heard = self.heard.values();
         heard.filter(|(_, at)| now - *at < EXPIRY).map(|(holder, _)| holder.clone()).collect()
--- a/crates/core/tests/keys_world/recovery.rs
+++ b/crates/core/tests/keys_world/recovery.rs
@@ -1,4 +1,4 @@
-//! Schedules of entries that were restarted, and of moves around that.
+//! Schedules in which entries restart before, during and after moves of buckets.
 
 use std::time::Duration;
 
@@ -10,8 +10,8 @@
 use super::{Entry, World, AGENTS, ENTRIES, OUTAGE_HOLD, SERVICE};
 
 impl World {
-    /// Restarts an agent, and then an entry at the moment at which the buckets are open again.
-    /// Returns how many new keys each entry may not dispatch afterwards.
+    /// Restarts an agent, and then an entry as soon as the moved buckets are open. Returns the
+    /// number of new keys that are not dispatched afterwards, over all entries.
     pub fn run_killed_at_open(&mut self) -> usize {
         (self.fault_free, self.step_ms) = (true, 100);
         while !self.is_open() {
@@ -21,11 +21,11 @@
         self.agents[agent].holder.incarnation = self.rng.u64(1..);
         let generation = self.store.map.1.generation;
         let mut next = self.now;
-        // Rounds that follow each other at once, as while a move is in progress.
+        // While a move is in progress, processes run their rounds without pauses.
         self.step_ms = 10;
         while self.store.map.1.generation == generation || self.store.map.1.is_moving() {
             self.step();
-            // Processes look for what is lacking at least each 100 ms after a move has begun.
+            // Processes check for missing lists at least every 100 ms after a move has begun.
             if self.now >= next {
                 self.fetch_all();
                 next = self.now + Duration::from_millis(self.rng.u64(50..300));
@@ -39,11 +39,11 @@
             self.fetch_all();
         }
         assert!(self.is_open(), "seed {}: buckets are still closed", self.seed);
-        self.count_closed("new")
+        self.count_undispatched("new")
     }
 
-    /// Restarts an entry that agents find one after the other, within 8 s, as they hear of its
-    /// address from other entries. Returns how often buckets moved.
+    /// Restarts an entry. Agents learn its address from other entries and announce themselves to it
+    /// one after the other, within 8 s. Returns how often buckets moved.
     pub fn run_found_late(&mut self) -> u64 {
         (self.fault_free, self.step_ms) = (true, 100);
         while !self.is_open() {
@@ -64,15 +64,16 @@
         self.store.map.1.generation - generation
     }
 
-    /// Restarts an entry, and some time later kills an agent for good, or restarts it. Returns how
-    /// many new keys each entry may not dispatch afterwards.
+    /// Restarts an entry, and later ends or restarts an agent. Checks that no key that ran is
+    /// dispatched to another holder. Returns the number of new keys that are not dispatched
+    /// afterwards, over all entries.
     pub fn run_ended_later(&mut self) -> usize {
         (self.fault_free, self.step_ms) = (true, 100);
         while !self.is_open() {
             self.step();
         }
         let (agent, victim) = (self.rng.usize(0..AGENTS), self.rng.usize(0..ENTRIES));
-        // The predecessor is a witness of an open move in half of the schedules.
+        // In half of the schedules, the previous incarnation is a witness of an open move.
         if self.rng.bool() {
             for _ in 0..100 {
                 self.step();
@@ -107,25 +108,25 @@
             let same = key.runs.is_empty() || key.runs.contains(&holder);
             assert!(same, "seed {}: {:?} is dispatched again", self.seed, key.name);
         }
-        self.count_closed("new")
+        self.count_undispatched("new")
     }
 
-    /// Counts the new keys that each entry may not dispatch.
-    pub fn count_closed(&mut self, prefix: &str) -> usize {
-        let mut closed = 0;
+    /// Lets each entry decide about 200 new keys. Returns how many are not dispatched.
+    pub fn count_undispatched(&mut self, prefix: &str) -> usize {
+        let mut undispatched = 0;
         for (entry, number) in (0..ENTRIES).flat_map(|e| (0..200).map(move |n| (e, n))) {
             let name = Bytes::from(format!("{prefix}-{entry}-{number}"));
             let decision = self.entries[entry].decide(self.now, &name);
-            closed += usize::from(!matches!(decision, Decision::Dispatch(_)));
+            undispatched += usize::from(!matches!(decision, Decision::Dispatch(_)));
         }
-        closed
+        undispatched
     }
 
-    /// Lets each entry fetch what it lacks from each other entry.
+    /// Lets each entry fetch its missing lists from each other entry.
     pub fn fetch_all(&mut self) {
         for (entry, asked) in (0..ENTRIES).flat_map(|e| (0..ENTRIES).map(move |a| (e, a))) {
             for mut request in self.entries[entry].page_requests(self.now) {
-                // A second page is never needed: a schedule has few keys.
+                // A list fits into one page, since a schedule has few keys.
                 request.after = None;
                 let reply = self.entries[asked].gate.list(&request);
                 if matches!(reply, KeyListReply::Page { more: false, .. }) {
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Lets a restarted entry read the table of a holder. The answer may be lost.
+    /// Lets a restarted entry read the key table of a random holder. The answer may be lost.
     pub fn recover(&mut self, entry: usize) {
         let asker = &mut self.entries[entry];
         let Some((ended, holders)) = asker.gate.recovery_sources().filter(|_| asker.up) else {
@@ -164,8 +165,9 @@
         }
     }
 
-    /// Sends each young key again through an entry while its first request has run, and lets the
-    /// holder refuse what is on its way then.
+    /// Sends pairs of requests, mostly with one key, through the same entry. The first request of a
+    /// pair is delivered before the second is sent. At the end, the holders are leaving and refuse
+    /// the requests in flight.
     pub fn run_refused_duplicates(&mut self) {
         (self.fault_free, self.step_ms) = (true, 100);
         while !self.is_open() {
@@ -183,8 +185,8 @@
         self.settle_requests(|_| true);
     }
 
-    /// Restarts an entry, with requests of it on their way, and cuts agents off from all entries,
-    /// in any order; callers retry all keys through all entries in between.
+    /// Restarts an entry whose requests are still in flight, and cuts agents off from all entries,
+    /// in random order. In between, callers retry keys through all entries.
     pub fn run_taken_over(&mut self) {
         (self.fault_free, self.step_ms) = (true, 100);
         while !self.is_open() {
@@ -230,7 +232,7 @@
                     self.recover(victim);
                 }
             }
-            // Few, so that most keys are known to the entry alone that dispatched them first.
+            // Only an eighth, so that most keys are known only to the entry that dispatched them.
             self.retry_keys(8);
             self.settle_requests(is_sent);
         }
@@ -239,7 +241,7 @@
         self.settle_requests(|_| true);
     }
 
-    /// Sends each key again through each entry, or one of `part` of these requests.
+    /// Retries keys through entries: one in `part` of all pairs of a key and an entry.
     fn retry_keys(&mut self, part: u32) {
         for (entry, key) in (0..ENTRIES * self.keys.len()).map(|n| (n % ENTRIES, n / ENTRIES)) {
             if self.rng.u32(0..part) == 0 {
@@ -250,11 +252,11 @@
         }
     }
 
-    /// Delivers the requests of the incarnations for which `delivers` holds, and finishes all
-    /// probes.
+    /// Delivers the requests of the entry incarnations for which `delivers` holds, and finishes all
+    /// pending probes, until none are left.
     fn settle_requests(&mut self, delivers: impl Fn(u64) -> bool) {
         loop {
-            while !self.probing.is_empty() {
+            while !self.probes.is_empty() {
                 self.advance_probe();
             }
             let (now, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.messages)
--- a/crates/core/tests/keys_world/world.rs
+++ b/crates/core/tests/keys_world/world.rs
@@ -1,4 +1,5 @@
-//! A world of entries, agents and a store for the schedules of keys.
+//! Simulated entries, agents and store on virtual time, for seeded schedules of requests with
+//! idempotency keys.
 
 mod entry;
 mod recovery;
@@ -14,38 +15,44 @@
 use entry::Entry;
 
 pub const SERVICE: &str = "bidding";
+/// Time for which an entry dispatches keys without contact to the store.
 pub const OUTAGE_HOLD: Duration = Duration::from_secs(60);
 const ENTRIES: usize = 3;
 const AGENTS: usize = 3;
-/// Callers retry a key for less than the retention of 10 min.
+/// Time for which callers retry a key: less than the retention of 10 min.
 const RETRY_WINDOW: Duration = Duration::from_secs(9 * 60);
-/// Longest delay of a request on its way to an agent.
+/// Maximum time between the dispatch of a request and its delivery to an agent.
 const DELIVERY_LIMIT: Duration = Duration::from_secs(20);
 
+/// The contents of the store, each with its version.
 #[derive(Default)]
 pub struct Store {
     pub records: BTreeMap<String, (u64, EntryRecord)>,
     pub map: (u64, KeyMap),
 }
 
+/// A simulated agent.
 pub struct Agent {
+    /// The agent's name and current incarnation.
     pub holder: Holder,
     pub up: bool,
     pub leaving: bool,
-    /// Entries, with the incarnation, whose requests are refused.
+    /// Index and incarnation of ended entries, whose requests the agent refuses.
     ended: Vec<(usize, u64)>,
 }
 
+/// A key that callers have sent.
 struct Key {
     name: Bytes,
     created: Duration,
-    /// Holders that ran it.
+    /// Holders that ran the key, as agent and incarnation.
     runs: BTreeSet<(String, u64)>,
-    /// Dispatches on their way when a request was answered as not run.
+    /// Numbers of the messages that were in flight when a request of the key was reported as not
+    /// run, and that must not run any more.
     reported_not_run: BTreeSet<u64>,
 }
 
-/// A request on its way to a holder.
+/// A dispatched request in flight to a holder.
 struct Message {
     number: u64,
     entry: usize,
@@ -53,45 +60,49 @@
     key: usize,
     holder: Holder,
     sent: Duration,
-    /// The key had run when the request came.
+    /// The key had already run when the request reached the entry.
     ran: bool,
-    /// Dispatches of the key that were on their way then.
+    /// Numbers of the key's messages that were in flight at that time.
     in_flight: BTreeSet<u64>,
 }
 
-/// A request whose witnesses are being asked, one after the other.
-struct Probing {
+/// A request for which an entry asks witnesses, one after the other.
+struct PendingProbe {
     entry: usize,
     incarnation: u64,
     key: usize,
-    /// Of the move, or `None` to confirm that the key was not run.
+    /// Generation of the bucket, or `None` when all entries are asked whether the key ran.
     generation: Option<u64>,
+    /// Time at which the witnesses were listed from the store.
     listed: Option<Duration>,
     witnesses: Vec<Witness>,
     unasked: Vec<Witness>,
     results: Vec<(Witness, Option<ProbeReply>)>,
-    /// The key had run when the request came.
+    /// The key had already run when the request reached the entry.
     ran: bool,
-    /// Dispatches of the key that were on their way then.
+    /// Numbers of the key's messages that were in flight at that time.
     in_flight: BTreeSet<u64>,
 }
 
+/// A simulation of entries, agents, the store and callers.
 pub struct World {
     seed: u64,
     rng: fastrand::Rng,
     now: Duration,
-    /// Mean time of one step; long ones let the retention pass.
+    /// Mean duration of a step in milliseconds. With long steps, the retention passes in a
+    /// schedule.
     step_ms: u64,
     store: Store,
     entries: Vec<Entry>,
     agents: Vec<Agent>,
     keys: Vec<Key>,
     messages: Vec<Message>,
-    probing: Vec<Probing>,
+    probes: Vec<PendingProbe>,
+    /// Number of the last message.
     last_number: u64,
-    /// Answers of certain `not run`.
+    /// Number of requests that were reported as not run.
     pub not_run: u64,
-    /// No faults but those that a test causes.
+    /// Steps cause no random faults.
     fault_free: bool,
 }
 
@@ -119,13 +130,14 @@
             agents,
             keys: Vec::new(),
             messages: Vec::new(),
-            probing: Vec::new(),
+            probes: Vec::new(),
             last_number: 0,
             not_run: 0,
             fault_free: false,
         }
     }
 
+    /// Performs one random event: a store call, a request, a delivery, a probe, a fetch or a fault.
     pub fn step(&mut self) {
         self.now += Duration::from_millis(self.rng.u64(0..self.step_ms * 2));
         self.announce();
@@ -150,8 +162,8 @@
         }
     }
 
-    /// Runs steps without faults until one entry is cut off, and then until it must have stopped
-    /// to use what it knew.
+    /// Runs steps without faults, cuts one entry off from the store, and runs steps until it must
+    /// have stopped dispatching keys.
     pub fn run_isolated_entry(&mut self) {
         (self.fault_free, self.step_ms) = (true, 100);
         let warmup = self.rng.u32(150..400);
@@ -165,8 +177,10 @@
         }
     }
 
-    /// Restarts an agent, and then an entry as soon as another one has its list; with `outage`, the
-    /// store is down around that. Returns how many new keys each entry may not dispatch afterwards.
+    /// Restarts an agent, and then an entry after another entry has fetched its list. With
+    /// `outage`, the store is unreachable around the restart. Checks that no key that ran is
+    /// dispatched to another holder. Returns the number of new keys that are not dispatched, over
+    /// all entries.
     pub fn run_restart(&mut self, outage: bool) -> usize {
         (self.fault_free, self.step_ms) = (true, 100);
         while !self.is_open() {
@@ -189,7 +203,7 @@
         for _ in 0..self.rng.u32(0..60) {
             self.step();
         }
-        self.set_store(!outage);
+        self.set_store_reachable(!outage);
         let incarnation = self.rng.u64(1..);
         self.entries[victim] = Entry::new(victim, incarnation, self.now, AGENTS);
         let end = self.now + OUTAGE_HOLD / 4;
@@ -197,7 +211,7 @@
             self.entries[victim].reaches_store = !outage;
             self.step();
         }
-        self.set_store(true);
+        self.set_store_reachable(true);
         let end = self.now + OUTAGE_HOLD;
         while self.now < end {
             self.step();
@@ -211,19 +225,19 @@
             let same = key.runs.is_empty() || key.runs.contains(&holder);
             assert!(same, "seed {}: {:?} is dispatched again", self.seed, key.name);
         }
-        self.count_closed("new")
+        self.count_undispatched("new")
     }
 
-    fn set_store(&mut self, reachable: bool) {
+    fn set_store_reachable(&mut self, reachable: bool) {
         for entry in &mut self.entries {
             entry.reaches_store = reachable;
         }
     }
 
-    /// Ends all faults and lets enough time pass for each timeout.
-    pub fn heal(&mut self) {
+    /// Ends all faults and runs steps for longer than each timeout.
+    pub fn end_faults(&mut self) {
         self.fault_free = true;
-        (self.step_ms, self.messages, self.probing) = (100, Vec::new(), Vec::new());
+        (self.step_ms, self.messages, self.probes) = (100, Vec::new(), Vec::new());
         for index in 0..ENTRIES {
             let entry = &mut self.entries[index];
             (entry.reaches_store, entry.reaches_entries) = (true, true);
@@ -241,25 +255,28 @@
         }
     }
 
-    /// Tells whether each entry may use each bucket.
+    /// Tells whether all buckets are open at live holders and each entry has adopted them.
     pub fn is_open(&self) -> bool {
         let map = &self.store.map.1;
         let is_live = |holder: &Holder| self.agents.iter().any(|agent| agent.holder == *holder);
         !map.buckets.is_empty()
             && map.buckets.iter().all(|b| b.phase == Phase::Open && is_live(&b.holder))
             && self.entries.iter().all(|entry| {
-                // The list of a settled move may be dropped at any time.
+                // Only buckets are compared, since the witnesses of an expired move may be dropped
+                // at any time.
                 entry.gate.map(SERVICE).is_some_and(|known| known.buckets == map.buckets)
             })
     }
 
+    /// Lets each entry that is up receive the agents' announcements.
     fn announce(&mut self) {
         for entry in self.entries.iter_mut().filter(|entry| entry.up) {
             entry.receive_announcements(self.now, &self.agents);
         }
     }
 
-    /// Cuts one entry off from the store, and the others from an agent that it still reaches.
+    /// Cuts the other entries off from a random agent that `entry` still reaches and, in three of
+    /// four cases, `entry` off from the store.
     fn isolate_entry(&mut self, entry: usize) {
         let agent = self.rng.usize(0..AGENTS);
         for (index, other) in self.entries.iter_mut().enumerate() {
@@ -268,6 +285,7 @@
         self.entries[entry].reaches_store = self.rng.u32(0..4) == 0;
     }
 
+    /// Stops, drains or restarts a random agent.
     fn change_agent(&mut self) {
         let index = self.rng.usize(0..AGENTS);
         let agent = &mut self.agents[index];
@@ -282,6 +300,7 @@
         }
     }
 
+    /// Shuts down, kills or restarts an entry.
     fn change_entry(&mut self, index: usize) {
         match self.rng.u32(0..3) {
             0 if self.entries[index].up => self.entries[index].stop(self.now, &mut self.store),
@@ -293,13 +312,13 @@
         }
     }
 
-    /// A caller sends a new key, or an earlier one again, through an entry.
+    /// Sends a request with a new key, or a retry of an earlier key, through an entry.
     fn request(&mut self, entry: usize) {
         if !self.entries[entry].up {
             return;
         }
         let now = self.now;
-        // Mostly one of the last keys: retries through several entries within a short time.
+        // Mostly one of the last three keys, so that a key is soon retried through several entries.
         let first = if self.rng.u32(0..4) > 0 { self.keys.len().saturating_sub(3) } else { 0 };
         let young: Vec<usize> = (first..self.keys.len())
             .filter(|index| now - self.keys[*index].created < RETRY_WINDOW)
@@ -322,6 +341,7 @@
         self.apply_decision(entry, key, decision);
     }
 
+    /// Carries out an entry's decision about a request.
     fn apply_decision(&mut self, entry: usize, key: usize, decision: Decision) {
         let incarnation = self.entries[entry].incarnation;
         let pending = self.messages.iter().filter(|message| message.key == key);
@@ -335,7 +355,7 @@
                     Message { number, entry, incarnation, key, holder, sent, ran, in_flight };
                 self.messages.push(message);
             }
-            Decision::Probe { generation, witnesses } => self.probing.push(Probing {
+            Decision::Probe { generation, witnesses } => self.probes.push(PendingProbe {
                 entry,
                 incarnation,
                 key,
@@ -352,10 +372,10 @@
         }
     }
 
-    /// Begins to ask all entries whether a refused key was run by another dispatch.
+    /// Begins to ask all entries whether another dispatch of a refused key may have run.
     fn begin_confirm(&mut self, entry: usize, key: usize, ran: bool, in_flight: BTreeSet<u64>) {
         let (listed, witnesses) = self.entries[entry].confirm_witnesses(self.now);
-        self.probing.push(Probing {
+        self.probes.push(PendingProbe {
             entry,
             incarnation: self.entries[entry].incarnation,
             key,
@@ -369,34 +389,34 @@
         });
     }
 
-    /// Asks the next witness of a random request, or decides when all were asked.
+    /// Asks the next witness of a random pending probe, or decides when all were asked.
     fn advance_probe(&mut self) {
-        if self.probing.is_empty() {
+        if self.probes.is_empty() {
             return;
         }
-        let index = self.rng.usize(0..self.probing.len());
-        let mut probing = self.probing.swap_remove(index);
-        let asker = &self.entries[probing.entry];
-        if asker.incarnation != probing.incarnation || !asker.up {
+        let index = self.rng.usize(0..self.probes.len());
+        let mut probe = self.probes.swap_remove(index);
+        let asker = &self.entries[probe.entry];
+        if asker.incarnation != probe.incarnation || !asker.up {
             return;
         }
-        let name = self.keys[probing.key].name.clone();
-        if let Some(witness) = probing.unasked.pop() {
-            let reply = self.reply(probing.entry, &witness, &name);
-            probing.results.push((witness, reply));
-            self.probing.push(probing);
+        let name = self.keys[probe.key].name.clone();
+        if let Some(witness) = probe.unasked.pop() {
+            let reply = self.reply(probe.entry, &witness, &name);
+            probe.results.push((witness, reply));
+            self.probes.push(probe);
             return;
         }
-        let Some(generation) = probing.generation else { return self.confirm(probing, &name) };
-        let (now, results) = (self.now, &probing.results);
-        let entry = &mut self.entries[probing.entry];
+        let Some(generation) = probe.generation else { return self.confirm(probe, &name) };
+        let (now, results) = (self.now, &probe.results);
+        let entry = &mut self.entries[probe.entry];
         let decision = entry.decide_probed(now, &name, generation, results);
-        self.apply_decision(probing.entry, probing.key, decision);
+        self.apply_decision(probe.entry, probe.key, decision);
     }
 
-    /// Checks that a key which is reported as not run has not run.
-    fn confirm(&mut self, probing: Probing, name: &Bytes) {
-        let Probing { entry, key, listed, witnesses, results, ran, in_flight, .. } = probing;
+    /// Checks that a key had not run when it is reported as not run.
+    fn confirm(&mut self, probe: PendingProbe, name: &Bytes) {
+        let PendingProbe { entry, key, listed, witnesses, results, ran, in_flight, .. } = probe;
         let gate = &self.entries[entry].gate;
         if gate.confirm_not_run(self.now, SERVICE, name, (listed, &witnesses), &results) {
             self.not_run += 1;
@@ -405,7 +425,7 @@
         }
     }
 
-    /// Lets an entry fetch a page of a list that it lacks, from any entry.
+    /// Lets an entry fetch one page of a missing list from a random entry.
     fn fetch(&mut self, entry: usize) {
         let page_requests = self.entries[entry].page_requests(self.now);
         let Some(request) = self.rng.choice(page_requests).filter(|_| self.entries[entry].up)
@@ -423,6 +443,7 @@
         }
     }
 
+    /// Returns a witness's answer to a probe, or `None` if the witness is not reachable.
     fn reply(&self, asker: usize, witness: &Witness, name: &Bytes) -> Option<ProbeReply> {
         let asked = self.entries.iter().position(|entry| entry.name == witness.entry)?;
         let reachable = asked == asker
@@ -431,7 +452,7 @@
         (entry.up && reachable).then(|| entry.gate.probe(SERVICE, name))
     }
 
-    /// Delivers a random request, or loses it.
+    /// Delivers a random request, or loses it or its answer.
     fn deliver(&mut self) {
         if self.messages.is_empty() {
             return;
@@ -449,23 +470,25 @@
             (true, false) if lost && self.rng.bool() => false,
             (true, false) => {
                 self.run(&message);
-                // The answer may be lost; the entry then knows nothing.
+                // The answer may be lost, so the entry has no proof either way.
                 false
             }
-            // Refused or not connected, or a failure without proof.
+            // The request was refused or found no connection, or failed without proof of that.
             _ => !lost,
         };
         let entry = &mut self.entries[message.entry];
         if entry.incarnation == message.incarnation && entry.up {
             let name = &self.keys[message.key].name;
             entry.gate.finish(self.now, SERVICE, name, not_run);
-            // This copy was not run; another one may have been.
+            // This dispatch did not run, but another one may have.
             if not_run {
                 self.begin_confirm(message.entry, message.key, message.ran, message.in_flight);
             }
         }
     }
 
+    /// Runs a request at its holder. Checks that the key runs at one holder only, and not after it
+    /// was reported as not run.
     fn run(&mut self, message: &Message) {
         let key = &mut self.keys[message.key];
         assert!(
@@ -486,7 +509,7 @@
     }
 }
 
-/// Shortens a page, so that lists of few keys take several.
+/// Shortens a page to `limit` keys, so that a list of few keys needs several pages.
 fn truncate_page(reply: KeyListReply, limit: usize) -> KeyListReply {
     match reply {
         KeyListReply::Page { mut keys, more } => {
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -1,4 +1,5 @@
-//! Seeded schedules of heartbeats, lists and outages.
+//! Checks the liveness of entries in seeded random schedules of heartbeats, lists and outages of
+//! the store.
 
 #[path = "support/schedules.rs"]
 mod schedules;
@@ -7,8 +8,11 @@
 
 use peridotfold_core::membership::{EntryRecord, Members, HEARTBEAT_INTERVAL, HEARTBEAT_RETRY};
 
+/// Number of random schedules, each with its own seed.
 const SCHEDULES: u64 = 10_000;
+/// Silence after which an entry counts as dead.
 const DEAD_AFTER: Duration = Duration::from_secs(6);
+/// Duration of a step.
 const TICK: Duration = Duration::from_millis(500);
 
 fn record(entry: usize, incarnation: u64, counter: u64) -> EntryRecord {
@@ -35,8 +39,9 @@
     killed: Option<Duration>,
 }
 
-/// Guards against entries declared dead because of the store: during an outage, just after it, or
-/// while it refuses writes only. Also against dead entries that stay alive.
+/// Guards against entries that count as dead because of a fault of the store: during an outage,
+/// just after it, or while the store refuses only writes. Also guards against dead entries that
+/// count as alive.
 #[test]
 fn outages_kill_nobody_and_the_dead_are_noticed() {
     schedules::run(SCHEDULES, |seed| {
@@ -57,8 +62,8 @@
     let mut members = Members::new(DEAD_AFTER);
     let (mut reads, mut writes) = (true, true);
     let mut listed = Duration::ZERO;
-    // Time in which the observer listed without an outage, for each killed entry.
-    let mut counted = [Duration::ZERO; 4];
+    // For each killed entry, the time since its death without outages of the store.
+    let mut observed = [Duration::ZERO; 4];
     let mut previous = None;
     for step in 0..240_u32 {
         let now = TICK * step;
@@ -87,9 +92,9 @@
             match writer.killed {
                 None => assert!(alive, "seed {seed}: entry {index} is alive at {now:?}"),
                 Some(killed) if now > killed + HEARTBEAT_INTERVAL + gap => {
-                    counted[index] +=
+                    observed[index] +=
                         if gap <= HEARTBEAT_INTERVAL * 2 { gap } else { Duration::ZERO };
-                    let late = counted[index] > DEAD_AFTER + HEARTBEAT_INTERVAL * 2;
+                    let late = observed[index] > DEAD_AFTER + HEARTBEAT_INTERVAL * 2;
                     assert!(!(alive && late), "seed {seed}: entry {index} is dead at {now:?}");
                 }
                 Some(_) => {}
@@ -98,7 +103,8 @@
     }
 }
 
-/// Guards against a restarted or stopped entry that is treated as its predecessor.
+/// Guards against a restarted entry that is taken for its previous incarnation, and against a
+/// stopped entry that counts as alive.
 #[test]
 fn restarts_and_stops_are_seen_at_once() {
     let mut members = Members::new(DEAD_AFTER);
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -1,4 +1,5 @@
-//! Seeded schedules of announcements, failures and choices on virtual time.
+//! Checks the choice of upstreams and the retry budget in seeded random schedules of announcements,
+//! failures and requests, on virtual time.
 
 #[path = "support/schedules.rs"]
 mod schedules;
@@ -8,11 +9,13 @@
 use peridotfold_core::message::announce::{AgentState, Announce, ServiceLoad};
 use peridotfold_core::routing::{Feedback, RetryBudget, Target, UpstreamTable};
 
+/// Number of random schedules, each with its own seed.
 const SCHEDULES: u64 = 10_000;
 const AGENTS: usize = 5;
 const SERVICE: &str = "listings";
+/// Time after its last announcement at which an upstream receives no more work.
 const EXPIRY: Duration = Duration::from_secs(3);
-/// Longest delay of an announcement; below the time for which the table keeps silent agents.
+/// Maximum delay of an announcement, below the time for which the table keeps silent agents.
 const DELAY_LIMIT: Duration = Duration::from_secs(50);
 
 fn announce(agent: usize, incarnation: u64, sequence: u64, state: AgentState) -> Announce {
@@ -38,31 +41,34 @@
     }
 }
 
-/// What the test knows about one agent.
+/// Expected state of one agent.
 #[derive(Default)]
 struct Model {
     incarnation: u64,
     sequence: u64,
     leaving: bool,
-    /// Announcements on their way, with the time of sending.
+    /// Time of sending, incarnation, sequence and state of the announcements in flight.
     sent: Vec<(Duration, u64, u64, AgentState)>,
-    /// Time, incarnation and sequence of each delivery.
+    /// Time, incarnation, sequence and state of each announcement that the table accepted.
     delivered: Vec<(Duration, u64, u64, AgentState)>,
-    /// Deliveries at the last connection failure.
-    failed: Option<(u64, usize)>,
+    /// Incarnation and number of deliveries at the last connection failure.
+    connection_failed: Option<(u64, usize)>,
 }
 
 impl Model {
+    /// Tells whether the table may choose the given incarnation of the agent.
     fn allows(&self, now: Duration, incarnation: u64) -> bool {
-        let of_it = || self.delivered.iter().filter(|(_, i, ..)| *i == incarnation);
-        let recent = of_it().any(|(at, ..)| now - *at < EXPIRY);
-        let newest = of_it().max_by_key(|(_, _, sequence, _)| *sequence);
+        let deliveries = || self.delivered.iter().filter(|(_, i, ..)| *i == incarnation);
+        let recent = deliveries().any(|(at, ..)| now - *at < EXPIRY);
+        let newest = deliveries().max_by_key(|(_, _, sequence, _)| *sequence);
         let ready = newest.is_some_and(|(.., state)| *state == AgentState::Ready);
-        let silent_since_failure = self.failed == Some((incarnation, self.delivered.len()));
+        let silent_since_failure =
+            self.connection_failed == Some((incarnation, self.delivered.len()));
         recent && ready && !silent_since_failure
     }
 }
 
+/// A random schedule with the table under test and the expected state of each agent.
 struct Schedule {
     seed: u64,
     rng: fastrand::Rng,
@@ -70,11 +76,11 @@
     table: UpstreamTable,
     models: Vec<Model>,
     budget: RetryBudget,
-    first: u32,
+    first_tries: u32,
     retries: u32,
 }
 
-/// Guards against work for an upstream that is leaving, silent, replaced or unreachable, and
+/// Guards against requests to an upstream that is leaving, silent, replaced or unreachable, and
 /// against more retries than a tenth of the first tries.
 #[test]
 fn only_live_upstreams_are_chosen() {
@@ -86,7 +92,7 @@
             table: UpstreamTable::default(),
             models: (0..AGENTS).map(|_| Model::default()).collect(),
             budget: RetryBudget::default(),
-            first: 0,
+            first_tries: 0,
             retries: 0,
         };
         for _ in 0..200 {
@@ -125,7 +131,7 @@
         model.sent.push((self.now, model.incarnation, model.sequence, state));
     }
 
-    /// Delivers an announcement, not always the oldest one.
+    /// Delivers an announcement, in one of four cases out of order.
     fn deliver(&mut self, index: usize) {
         let model = &mut self.models[index];
         model.sent.retain(|(at, ..)| self.now - *at < DELAY_LIMIT);
@@ -143,7 +149,7 @@
     }
 
     fn request(&mut self) {
-        self.first += 1;
+        self.first_tries += 1;
         self.budget.earn();
         let mut tried = Vec::new();
         loop {
@@ -156,7 +162,7 @@
             self.table.end(&target, SERVICE);
             if feedback == Feedback::Unreachable {
                 let model = &mut self.models[index_of(&target)];
-                model.failed = Some((target.incarnation, model.delivered.len()));
+                model.connection_failed = Some((target.incarnation, model.delivered.len()));
             }
             let failed = matches!(feedback, Feedback::Unreachable | Feedback::Failed);
             if !failed || !self.budget.spend() {
@@ -165,7 +171,7 @@
             self.retries += 1;
             tried.push(target.agent);
         }
-        assert!(self.retries * 10 <= self.first, "seed {}: too many retries", self.seed);
+        assert!(self.retries * 10 <= self.first_tries, "seed {}: too many retries", self.seed);
     }
 
     fn feedback(&mut self) -> Feedback {
@@ -190,7 +196,7 @@
     target.agent.trim_start_matches("agent-").parse().expect("the name ends with the index")
 }
 
-/// Guards against a table that loses live upstreams.
+/// Guards against a live upstream that is not found among many that are leaving.
 #[test]
 fn a_live_upstream_is_always_found() {
     let mut rng = fastrand::Rng::with_seed(1);
@@ -206,8 +212,9 @@
     assert!(table.choose(EXPIRY, SERVICE, &[], &mut rng).is_none());
 }
 
-/// Returns the latency at the 99th percentile with ten upstreams, of which the first takes
-/// `slow` times as long and fails a part of its requests at once.
+/// Simulates 20,000 requests to ten upstreams. Returns the 99th percentile of the latency and the
+/// number of failures. The first upstream takes `slow` times as long as the others; if `failing`,
+/// it fails all its requests after 0.5 ms instead.
 fn p99(seed: u64, slow: u64, failing: bool) -> (Duration, u32) {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut table = UpstreamTable::default();
@@ -243,7 +250,8 @@
     (latencies[latencies.len() * 99 / 100], failures)
 }
 
-/// Guards against a slow instance that raises the tail latency: at most 1.3 times (section 1.7).
+/// Guards against one slow upstream that raises the 99th percentile of the latency by more than 1.3
+/// times (section 1.7 of the design).
 #[test]
 fn one_slow_upstream_hardly_raises_p99() {
     for seed in 0..5 {
@@ -253,7 +261,7 @@
     }
 }
 
-/// Guards against an upstream that attracts requests by failing them fast.
+/// Guards against an upstream that attracts requests because it fails them fast.
 #[test]
 fn fast_errors_attract_no_requests() {
     for seed in 0..5 {
@@ -262,8 +270,8 @@
     }
 }
 
-/// Guards against an upstream that fails fast and attracts requests, and against ejections that
-/// leave too few upstreams: those caused by refusals, or of more than half.
+/// Guards against an upstream that attracts requests because it fails fast, and against ejections
+/// that leave too few upstreams: after refusals, or of more than half of the upstreams.
 #[test]
 fn only_failing_upstreams_are_ejected_and_at_most_half() {
     for failing in 1..=AGENTS {
@@ -288,7 +296,7 @@
                 table.record_feedback(now, &target, SERVICE, outcome);
                 chosen[index] += u32::from(number >= 2_000);
             }
-            // Cost alone keeps a failing upstream idle while others answer.
+            // While others answer, the cost of a failing upstream is enough to keep it idle.
             let idle = chosen.iter().filter(|count| **count == 0).count();
             let case = format!("{failing} with {feedback:?}: {chosen:?}");
             assert!(chosen[failing..].iter().all(|count| *count > 0), "{case}");
--- a/crates/entry/src/http.rs
+++ b/crates/entry/src/http.rs
@@ -45,7 +45,7 @@
 impl<S: Store> Http<S> {
     fn metrics(&self) -> Response<Body> {
         let now = peridotfold_wire::runtime::now();
-        let upstreams = self.context.upstreams.lock().eligible(now);
+        let upstreams = self.context.upstreams.lock().live_agents(now);
         for (service, live) in upstreams {
             metrics::gauge!("upstreams_live", "service" => service).set(live.len() as f64);
         }
--- a/crates/entry/src/members.rs
+++ b/crates/entry/src/members.rs
@@ -257,7 +257,7 @@
         let alive = self.context.alive();
         let (live, leaving) = {
             let upstreams = self.context.upstreams.lock();
-            (upstreams.eligible(now), upstreams.leaving())
+            (upstreams.live_agents(now), upstreams.leaving())
         };
         let leaving: Vec<_> = leaving.iter().map(holder).collect();
         let known = maps.iter().map(|(service, ..)| service);
