--- a/crates/core/src/key_table.rs
+++ b/crates/core/src/key_table.rs
@@ -71,6 +71,7 @@
 #[derive(Debug)]
 enum State {
     Running,
+    /// Has run, with its kept response.
     Answered(Arc<Answer>),
     /// May have run, without a kept response.
     Unknown,
--- a/crates/core/src/keys/gate.rs
+++ b/crates/core/src/keys/gate.rs
@@ -528,7 +528,7 @@
         Some(ProbeReply::Dispatched { agent, incarnation }) => {
             *agent == holder.agent && *incarnation == holder.incarnation
         }
-        // A restarted process no longer knows what its predecessor dispatched.
+        // A restarted entry no longer knows which keys its previous incarnation dispatched.
         Some(ProbeReply::NotDispatched { entry, incarnation }) => {
             witness.complete && *entry == witness.entry && *incarnation == witness.incarnation
         }
