--- a/crates/core/src/routing/table.rs
+++ b/crates/core/src/routing/table.rs
@@ -170,7 +170,7 @@
         true
     }
 
-    /// Drops agents that have been silent for [`SILENCE_RETENTION`].
+    /// Drops agents that have been silent for `SILENCE_RETENTION`.
     pub fn prune(&mut self, now: Time) {
         self.upstreams
             .retain(|_, upstream| now.saturating_sub(upstream.last_heard) < SILENCE_RETENTION);
