--- a/crates/core/src/keys/gate.rs
+++ b/crates/core/src/keys/gate.rs
@@ -1,4 +1,4 @@
-//! Decides whether and where an entry may dispatch a request with a key.
+//! Decides whether, and to which holder, an entry may dispatch a request with an idempotency key.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -6,46 +6,48 @@
 use bytes::Bytes;
 
 use crate::id::{EntryId, Incarnation, ServiceId};
-use crate::keys::inherited::{self, Base, Earlier, Inherited};
 use crate::keys::lists::{self, KeyHash, Lists};
+use crate::keys::recovered::{self, ListState, PriorDispatch, RecoveredKeys};
 use crate::keys::{
-    bucket_of, DispatchTable, Dispatched, Generation, Holder, KeyMap, Phase, Witness, COPY_LIMIT,
-    JOIN_WAIT, LIST_LIMIT, RETENTION,
+    bucket_of, DispatchRecord, DispatchTable, Generation, Holder, KeyMap, Phase, Witness,
+    JOIN_DELAY, LIST_AGE_LIMIT, LIST_COPY_LIMIT, RETENTION,
 };
 use crate::message::entry::{KeyListReply, KeyListRequest, ProbeReply, TableKey};
 use crate::time::{self, Time};
 
-/// What to do with a request that has a key.
+/// Decision of an entry about a request with an idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Decision {
-    /// Dispatch to this holder; the dispatch is already recorded.
+    /// Send the request to this holder; the gate has already recorded the dispatch.
     Dispatch(Holder),
-    /// Ask these entries about the key, and for the lists that are lacking, then call
-    /// [`Gate::decide_probed`].
+    /// Ask these witnesses about the key and fetch their missing lists of dispatched keys, then
+    /// call [`KeyGate::decide_probed`].
     Probe { generation: Generation, witnesses: Vec<Witness> },
-    /// The key may have run at an earlier holder; it is never dispatched again.
+    /// The key may have run at an earlier holder, so it must not be dispatched again.
     Unknown,
-    /// No holder may run the key now. Whether it was run before is open: ask all entries, then
-    /// call [`Gate::confirm`].
+    /// No holder may run the key now, and it is not known whether the key ran before. Ask all
+    /// entries, then call [`KeyGate::confirm_not_run`].
     Refuse,
 }
 
-/// Answer of one witness; `None` when it did not answer.
+/// A witness that was probed and its answer, or `None` when it did not answer.
 pub type ProbeResult = (Witness, Option<ProbeReply>);
 
+/// The key map of one service that this entry applies, with the state of its moves.
 #[derive(Debug, Default)]
-struct Adopted {
+struct AdoptedMap {
     map: KeyMap,
-    /// When this entry first saw each current move open.
-    opened: BTreeMap<Generation, Time>,
-    /// Generation up to which this entry acknowledged moves before it adopted `map`.
+    /// Time at which this entry first saw a bucket of each move open, by generation.
+    open_since: BTreeMap<Generation, Time>,
+    /// Generation up to which this entry had acknowledged moves before it adopted `map`.
     acknowledged: Generation,
-    /// When the first generation after `acknowledged` was adopted.
-    since: Time,
-    /// Generation up to which another entry has fetched this entry's list.
-    copied: Generation,
+    /// Time at which the first generation after `acknowledged` was adopted.
+    adopted_at: Time,
+    /// Generation up to which another entry has fetched this entry's list of dispatched keys.
+    copied_generation: Generation,
 }
 
+/// A bucket whose keys may be dispatched, with the witnesses that must be asked first.
 #[derive(Debug)]
 struct OpenBucket {
     holder: Holder,
@@ -53,110 +55,118 @@
     witnesses: Vec<Witness>,
 }
 
-/// Key maps and dispatched keys of an entry.
+/// Decides about requests with idempotency keys from the adopted key maps, the keys that this
+/// entry dispatched and the lists of keys that other entries dispatched.
 #[derive(Debug)]
-pub struct Gate {
+pub struct KeyGate {
     entry: EntryId,
     incarnation: Incarnation,
+    /// Time for which keys may be dispatched without contact to the store.
     outage_hold: Duration,
-    /// Start of the last round in which the store took a heartbeat and gave the key maps.
-    contact: Option<Time>,
-    /// End of the first such round.
-    first: Option<Time>,
-    /// The other entries know this entry's name from an earlier incarnation.
-    known: bool,
-    maps: HashMap<ServiceId, Adopted>,
+    /// Start of the last round that wrote a heartbeat to the store and read the key maps.
+    last_sync: Option<Time>,
+    /// End of the first round that did both.
+    first_sync: Option<Time>,
+    /// An earlier incarnation of this entry had joined, so the other entries know its name.
+    rejoined: bool,
+    maps: HashMap<ServiceId, AdoptedMap>,
+    /// Keys that this incarnation dispatched.
     dispatched: DispatchTable,
+    /// Lists of keys that witnesses dispatched before moves.
     lists: Lists,
-    inherited: Inherited,
+    /// Keys that the previous incarnation of this entry dispatched.
+    recovered: RecoveredKeys,
 }
 
-impl Gate {
-    /// Builds a gate that lets nothing pass until the first [`Gate::adopt`].
+impl KeyGate {
+    /// Builds a gate that allows no dispatch until the first [`KeyGate::adopt`].
     pub fn new(entry: EntryId, incarnation: Incarnation, outage_hold: Duration) -> Self {
-        Gate {
+        KeyGate {
             entry,
             incarnation,
             outage_hold,
-            contact: None,
-            first: None,
-            known: false,
+            last_sync: None,
+            first_sync: None,
+            rejoined: false,
             maps: HashMap::new(),
             dispatched: DispatchTable::default(),
             lists: Lists::default(),
-            inherited: Inherited::default(),
+            recovered: RecoveredKeys::default(),
         }
     }
 
-    /// Takes over the key maps of a round that began at `start`. The round's heartbeat has to be
-    /// written before the maps are read: a mover that does not find this entry's record can then
-    /// rely on it to read the move.
+    /// Adopts the key maps read in a round that began at `start`. The round must write this
+    /// entry's heartbeat before it reads the maps: an entry that moves buckets and finds no record
+    /// of this entry can then rely on it to read the move.
     pub fn adopt(&mut self, start: Time, now: Time, maps: Vec<(ServiceId, KeyMap)>) {
         for (service, map) in maps {
-            self.replace(now, service, map);
+            self.replace_map(now, service, map);
         }
-        self.contact = Some(start);
-        self.first.get_or_insert(now);
+        self.last_sync = Some(start);
+        self.first_sync.get_or_insert(now);
     }
 
-    /// Notes that an earlier incarnation of this entry had joined.
-    pub fn set_known(&mut self) {
-        self.known = true;
+    /// Records that an earlier incarnation of this entry had joined, so that [`JOIN_DELAY`] is
+    /// skipped.
+    pub fn set_rejoined(&mut self) {
+        self.rejoined = true;
     }
 
-    /// Tells whether the other entries know this one well enough for it to dispatch keys.
+    /// Tells whether this entry may dispatch keys, since each recent list of entries names it.
     pub fn is_joined(&self, now: Time) -> bool {
-        self.known || self.first.is_some_and(|first| now.saturating_sub(first) >= JOIN_WAIT)
+        self.rejoined || self.first_sync.is_some_and(|at| now.saturating_sub(at) >= JOIN_DELAY)
     }
 
-    /// Takes over one key map that was read from the store, or written to it, after the heartbeat
-    /// of the current round. An older map is ignored.
+    /// Adopts one key map that was read from the store or written to it after the heartbeat of the
+    /// current round. A map with a lower generation than the adopted one is ignored.
     pub fn adopt_one(&mut self, now: Time, service: &str, map: KeyMap) {
-        if self.contact.is_some() {
-            self.replace(now, service.to_owned(), map);
+        if self.last_sync.is_some() {
+            self.replace_map(now, service.to_owned(), map);
         }
     }
 
-    /// Stops all dispatches of keys, for a process that was replaced under its name.
+    /// Forbids all further dispatches, because another process runs under this entry's name.
     pub fn close(&mut self) {
-        self.contact = None;
+        self.last_sync = None;
         self.maps.clear();
         self.lists.clear();
     }
 
-    /// Forgets keys after the retention.
+    /// Removes keys that were dispatched more than the retention ago.
     pub fn prune(&mut self, now: Time) {
         self.dispatched.prune(now);
-        self.inherited.prune(now);
+        self.recovered.prune(now);
     }
 
-    /// Notes the incarnation before this one, whose table covered the whole retention. What it
-    /// dispatched can then be taken over from the holders; see [`Gate::recover`].
+    /// Sets the previous incarnation of this entry, whose table of dispatched keys covered the
+    /// whole retention, so that its keys can be recovered from the holders. See
+    /// [`KeyGate::recovery_sources`].
     pub fn set_predecessor(&mut self, predecessor: Incarnation) {
-        self.inherited.set_predecessor(predecessor);
+        self.recovered.set_predecessor(predecessor);
     }
 
-    /// Tells whether this entry has taken over all that its predecessor dispatched.
+    /// Tells whether all keys that the previous incarnation dispatched are recovered.
     pub fn is_recovered(&self) -> bool {
-        self.inherited.is_complete()
+        self.recovered.is_complete()
     }
 
-    /// Returns the predecessor and the holders whose tables are to be read, with their services.
-    /// Empty when all is taken over, or when a part of it is lost.
-    pub fn recover(&self) -> Option<(Incarnation, Vec<(ServiceId, Holder)>)> {
-        let predecessor = self.inherited.pending().filter(|_| self.contact.is_some())?;
+    /// Returns the previous incarnation of this entry, and the holders whose key tables must be
+    /// read to recover its keys, with their services. Returns `None` when there is nothing to
+    /// recover, or when a part cannot be recovered.
+    pub fn recovery_sources(&self) -> Option<(Incarnation, Vec<(ServiceId, Holder)>)> {
+        let predecessor = self.recovered.pending().filter(|_| self.last_sync.is_some())?;
         let own = (self.entry.as_str(), self.incarnation);
         let mut holders = BTreeSet::new();
         for (service, adopted) in &self.maps {
             for (index, bucket) in adopted.map.buckets.iter().enumerate() {
-                match inherited::base(service, &adopted.map, index, own, &self.lists) {
-                    _ if self.inherited.covers(service, index) => {}
-                    Base::Held => {
+                match recovered::list_state(service, &adopted.map, index, own, &self.lists) {
+                    _ if self.recovered.has_bucket(service, index) => {}
+                    ListState::Held => {
                         let Holder { agent, incarnation } = &bucket.holder;
                         holders.insert((service.clone(), agent.clone(), *incarnation));
                     }
-                    Base::Lacking => {}
-                    Base::Lost => return None,
+                    ListState::Missing => {}
+                    ListState::Lost => return None,
                 }
             }
         }
@@ -164,83 +174,86 @@
         Some((predecessor, holders.into_iter().map(holder).collect()))
     }
 
-    /// Takes over the whole table of a holder, which refuses requests of the predecessor since
-    /// before the table was read. Buckets whose older holders may have run more are left out.
-    pub fn inherit(&mut self, now: Time, service: &str, holder: &Holder, table: &[TableKey]) {
+    /// Recovers keys of the previous incarnation from the complete key table of a holder. The
+    /// holder must have refused requests of that incarnation since before the table was read.
+    /// Skips buckets for which the list of keys sent to older holders is missing.
+    pub fn recover_from(&mut self, now: Time, service: &str, holder: &Holder, table: &[TableKey]) {
         let Some(adopted) = self.maps.get(service) else { return };
-        if self.inherited.pending().is_none() {
+        if self.recovered.pending().is_none() {
             return;
         }
         let own = (self.entry.as_str(), self.incarnation);
         let known = |index: &usize| {
-            inherited::base(service, &adopted.map, *index, own, &self.lists) == Base::Held
+            recovered::list_state(service, &adopted.map, *index, own, &self.lists)
+                == ListState::Held
         };
-        let mut buckets = inherited::held_by(&adopted.map, holder);
+        let mut buckets = recovered::held_by(&adopted.map, holder);
         buckets.retain(known);
-        self.inherited.cover(now, service, &adopted.map, (holder, &buckets), table);
-        let covered = self.maps.iter().all(|(service, adopted)| {
-            (0..adopted.map.buckets.len()).all(|index| self.inherited.covers(service, index))
+        self.recovered.add_table(now, service, &adopted.map, (holder, &buckets), table);
+        let all_recovered = self.maps.iter().all(|(service, adopted)| {
+            (0..adopted.map.buckets.len()).all(|index| self.recovered.has_bucket(service, index))
         });
-        if covered {
+        if all_recovered {
             for service in self.maps.keys() {
                 let hashes = self.lists.hashes(service, &self.entry);
-                self.inherited.add_list(service, hashes);
+                self.recovered.add_list(service, hashes);
             }
-            self.inherited.set_complete();
+            self.recovered.set_complete();
         }
     }
 
-    /// Returns the dispatch of a key by this entry or its predecessor.
-    fn earlier(&self, service: &str, key: &Bytes) -> Option<Earlier> {
+    /// Returns the dispatch of a key by this or the previous incarnation of this entry.
+    fn prior_dispatch(&self, service: &str, key: &Bytes) -> Option<PriorDispatch> {
         match self.dispatched.get(service, key) {
-            Some(own) => Some(Earlier::new(own)),
-            None => self.inherited.get(service, key).cloned(),
+            Some(own) => Some(PriorDispatch::new(own)),
+            None => self.recovered.get(service, key).cloned(),
         }
     }
 
-    /// Returns the adopted generation of each service.
+    /// Returns the generation of the adopted key map of each service.
     pub fn generations(&self) -> BTreeMap<ServiceId, Generation> {
         self.maps.iter().map(|(service, a)| (service.clone(), a.map.generation)).collect()
     }
 
-    /// Returns the generation of each service up to which this entry acknowledges moves: it has
-    /// adopted the move, and another entry holds its list or had [`COPY_LIMIT`] to fetch it. A
-    /// move that opens before that loses the list with this entry.
+    /// Returns the generation of each service up to which this entry acknowledges moves. A move is
+    /// acknowledged once it is adopted and another entry has fetched this entry's list of
+    /// dispatched keys, or had [`LIST_COPY_LIMIT`] to do so. If a move opened earlier, the death
+    /// of this entry would lose the list.
     pub fn acknowledged(&self, now: Time) -> BTreeMap<ServiceId, Generation> {
         let own = (self.entry.as_str(), self.incarnation);
         self.maps.iter().map(|(service, a)| (service.clone(), a.acknowledged(now, own))).collect()
     }
 
-    /// Notes that another entry has fetched a list as a whole. The list that the request names is
-    /// this entry's, or the note has no effect.
+    /// Records that another entry has fetched the last page of a list of dispatched keys. Does
+    /// nothing when the requested list is not this entry's own.
     pub fn note_copied(&mut self, request: &KeyListRequest) {
         if (&request.entry, request.incarnation) == (&self.entry, self.incarnation) {
             if let Some(adopted) = self.maps.get_mut(&request.service) {
-                adopted.copied = adopted.copied.max(request.generation);
+                adopted.copied_generation = adopted.copied_generation.max(request.generation);
             }
         }
     }
 
-    /// Returns the adopted map of a service.
+    /// Returns the adopted key map of a service.
     pub fn map(&self, service: &str) -> Option<&KeyMap> {
         self.maps.get(service).map(|adopted| &adopted.map)
     }
 
-    /// Returns the moves of a service that have been open here for the whole retention.
-    pub fn settled(&self, now: Time, service: &str) -> Vec<Generation> {
+    /// Returns the generations of the moves that this entry has seen open for the retention.
+    pub fn expired_moves(&self, now: Time, service: &str) -> Vec<Generation> {
         let Some(adopted) = self.maps.get(service) else { return Vec::new() };
         let old = |at: &Time| now.saturating_sub(*at) >= time::lease_wait(RETENTION);
-        let known = adopted.map.moves.keys();
-        known.filter(|g| adopted.opened.get(g).is_some_and(old)).copied().collect()
+        let moves = adopted.map.moves.keys();
+        moves.filter(|g| adopted.open_since.get(g).is_some_and(old)).copied().collect()
     }
 
-    /// Answers a probe of another entry.
+    /// Answers another entry's question whether this entry dispatched a key.
     pub fn probe(&self, service: &str, key: &Bytes) -> ProbeReply {
-        match self.earlier(service, key) {
-            Some(earlier) => {
-                // No agent has an empty name.
-                let former = || Holder { agent: String::new(), incarnation: 0 };
-                let Holder { agent, incarnation } = earlier.holder.unwrap_or_else(former);
+        match self.prior_dispatch(service, key) {
+            Some(prior) => {
+                // An empty agent name matches no holder, so the asking entry does not dispatch.
+                let unknown_holder = || Holder { agent: String::new(), incarnation: 0 };
+                let Holder { agent, incarnation } = prior.holder.unwrap_or_else(unknown_holder);
                 ProbeReply::Dispatched { agent, incarnation }
             }
             None => ProbeReply::NotDispatched {
@@ -250,8 +263,8 @@
         }
     }
 
-    /// Decides about a request and records its dispatch. `is_live` tells whether a holder takes
-    /// new work.
+    /// Decides about a request with `key`, and records the dispatch if the decision is to dispatch.
+    /// `is_live` tells whether a holder accepts new work.
     pub fn decide(
         &mut self,
         now: Time,
@@ -259,20 +272,21 @@
         key: &Bytes,
         is_live: impl Fn(&Holder) -> bool,
     ) -> Decision {
-        let earlier = self.earlier(service, key).map(|earlier| earlier.holder);
-        match (self.open(now, service, key), earlier) {
+        let prior = self.prior_dispatch(service, key).map(|prior| prior.holder);
+        match (self.open_bucket(now, service, key), prior) {
             (None, None) => Decision::Refuse,
             (None, Some(_)) => Decision::Unknown,
-            (Some(open), Some(earlier)) => {
-                self.dispatch(now, service, key, open, Some(earlier), is_live)
+            (Some(open), Some(prior)) => {
+                self.dispatch(now, service, key, open, Some(prior), is_live)
             }
             (Some(open), None) => {
-                let clears = |w: &Witness| self.clears(service, open.generation, w, key);
-                if open.witnesses.iter().any(|w| clears(w) == Some(false)) {
+                let excluded =
+                    |w: &Witness| self.excludes_dispatch(service, open.generation, w, key);
+                if open.witnesses.iter().any(|w| excluded(w) == Some(false)) {
                     return Decision::Unknown;
                 }
-                let left = |w: &&Witness| clears(w).is_none();
-                let witnesses: Vec<_> = open.witnesses.iter().filter(left).cloned().collect();
+                let unresolved = |w: &&Witness| excluded(w).is_none();
+                let witnesses: Vec<_> = open.witnesses.iter().filter(unresolved).cloned().collect();
                 match witnesses.is_empty() || !is_live(&open.holder) {
                     true => self.dispatch(now, service, key, open, None, is_live),
                     false => Decision::Probe { generation: open.generation, witnesses },
@@ -281,7 +295,8 @@
         }
     }
 
-    /// Decides again after the witnesses of `generation` were asked.
+    /// Decides again about a request with the answers of the witnesses that
+    /// [`Decision::Probe`] named for `generation`.
     pub fn decide_probed(
         &mut self,
         now: Time,
@@ -291,16 +306,18 @@
         results: &[ProbeResult],
         is_live: impl Fn(&Holder) -> bool,
     ) -> Decision {
-        let earlier = self.earlier(service, key).map(|earlier| earlier.holder);
-        match (self.open(now, service, key), earlier) {
-            // Of another move that began meanwhile, the witnesses were not asked.
-            (Some(open), earlier) if open.generation == generation => {
-                let cleared = |w: &Witness| match self.clears(service, generation, w, key) {
-                    Some(cleared) => cleared,
-                    None => results.iter().any(|r| r.0 == *w && clears(r, &open.holder)),
+        let prior = self.prior_dispatch(service, key).map(|prior| prior.holder);
+        match (self.open_bucket(now, service, key), prior) {
+            // If the bucket has moved again, the witnesses of the new move were not asked.
+            (Some(open), prior) if open.generation == generation => {
+                let excluded = |w: &Witness| match self
+                    .excludes_dispatch(service, generation, w, key)
+                {
+                    Some(excluded) => excluded,
+                    None => results.iter().any(|r| r.0 == *w && excludes_others(r, &open.holder)),
                 };
-                match open.witnesses.iter().all(cleared) {
-                    true => self.dispatch(now, service, key, open, earlier, is_live),
+                match open.witnesses.iter().all(excluded) {
+                    true => self.dispatch(now, service, key, open, prior, is_live),
                     false => Decision::Unknown,
                 }
             }
@@ -309,13 +326,14 @@
         }
     }
 
-    /// Tells whether a key that is not dispatched now was certainly never run: each entry of
-    /// `current`, listed from the store at `listed`, was asked, has a complete table, and
-    /// dispatched it nowhere, this one included. An older list may lack an entry that joined.
+    /// Tells whether a key that is not dispatched now certainly never ran. This holds when each
+    /// entry of `current`, including this one, has a complete table and did not dispatch the key.
+    /// `current` must have been listed from the store, at `listed`, less than [`LIST_AGE_LIMIT`]
+    /// ago, since an older list may omit an entry that joined later.
     ///
-    /// A list of a move does not clear a witness here: this entry may not know yet that the move
-    /// is open, and the witness may have dispatched the key to the new holder.
-    pub fn confirm(
+    /// A list of keys dispatched before a move is no proof here: the move may be open without this
+    /// entry knowing, and the witness may have dispatched the key to the new holder.
+    pub fn confirm_not_run(
         &self,
         now: Time,
         service: &str,
@@ -324,7 +342,7 @@
         results: &[ProbeResult],
     ) -> bool {
         let is_self = |w: &Witness| w.entry == self.entry && w.incarnation == self.incarnation;
-        let recent = listed.is_some_and(|at| now.saturating_sub(at) < LIST_LIMIT);
+        let recent = listed.is_some_and(|at| now.saturating_sub(at) < LIST_AGE_LIMIT);
         let denies = |witness: &Witness| {
             results.iter().any(|(asked, reply)| match reply {
                 Some(ProbeReply::NotDispatched { entry, incarnation }) => {
@@ -336,43 +354,46 @@
             })
         };
         recent
-            && self.earlier(service, key).is_none()
+            && self.prior_dispatch(service, key).is_none()
             && !self.lists.contains(service, key)
             && current.iter().any(is_self)
             && current.iter().all(|w| w.complete && (is_self(w) || denies(w)))
     }
 
-    /// Tells why a key is `unknown`, for logs and error messages.
+    /// Returns the reason why a request with `key` ends as `unknown`, for logs and error messages.
     pub fn unknown_cause(&self, now: Time, service: &str, key: &Bytes) -> &'static str {
-        let Some(open) = self.open(now, service, key) else {
-            return match self.earlier(service, key) {
-                Some(_) => "dispatched before, and its bucket is closed",
-                None => "its bucket is closed, and not all entries deny it",
+        let Some(open) = self.open_bucket(now, service, key) else {
+            return match self.prior_dispatch(service, key) {
+                Some(_) => "the key was dispatched before, and its bucket is not open",
+                None => "the bucket is not open, and an entry may have dispatched the key",
             };
         };
-        let lacks = |w: &Witness| self.clears(service, open.generation, w, key).is_none();
+        let unlisted =
+            |w: &Witness| self.excludes_dispatch(service, open.generation, w, key).is_none();
         match () {
-            () if self.earlier(service, key).is_some() => "dispatched before",
-            () if self.lists.contains(service, key) => "dispatched by another entry before",
+            () if self.prior_dispatch(service, key).is_some() => "the key was dispatched before",
+            () if self.lists.contains(service, key) => "another entry dispatched the key before",
             () if open.witnesses.iter().any(|w| !w.complete) => {
-                "an entry restarted without its list of keys"
+                "an entry restarted and lost its list of dispatched keys"
             }
-            () if open.witnesses.iter().any(lacks) => "the list of keys of an entry is lacking",
-            () => "its holder is gone, and not all entries deny it",
+            () if open.witnesses.iter().any(unlisted) => {
+                "an entry's list of dispatched keys is missing"
+            }
+            () => "the holder is gone, and an entry may have dispatched the key",
         }
     }
 
-    /// Lists what is lacking of the lists of the moves that matter, to be fetched from the witness
-    /// itself or from another entry that holds its list.
-    pub fn lacking(&self, now: Time) -> Vec<KeyListRequest> {
-        let mut lacking = Vec::new();
+    /// Returns requests for the lists of dispatched keys that this entry does not hold yet, for
+    /// moves within the retention. The witness, or another entry that holds its list, answers them.
+    pub fn missing(&self, now: Time) -> Vec<KeyListRequest> {
+        let mut missing = Vec::new();
         for (service, adopted) in &self.maps {
             for (generation, witnesses) in &adopted.map.moves {
-                let opened = adopted.opened.get(generation).copied().unwrap_or(now);
-                if now.saturating_sub(opened) >= time::lease_wait(RETENTION) {
+                let open_since = adopted.open_since.get(generation).copied().unwrap_or(now);
+                if now.saturating_sub(open_since) >= time::lease_wait(RETENTION) {
                     continue;
                 }
-                let buckets = lists::buckets_of(&adopted.map.buckets, *generation);
+                let buckets = lists::move_mask(&adopted.map.buckets, *generation);
                 let requests =
                     witnesses.iter().filter(|w| w.complete).map(|witness| KeyListRequest {
                         service: service.clone(),
@@ -382,54 +403,58 @@
                         buckets,
                         after: None,
                     });
-                lacking.extend(requests.filter(|request| {
+                missing.extend(requests.filter(|request| {
                     let own = (&request.entry, request.incarnation);
                     own != (&self.entry, self.incarnation) && !self.lists.holds(request)
                 }));
             }
         }
-        lacking
+        missing
     }
 
-    /// Answers a request for a list.
+    /// Answers a request for a page of the keys that a witness dispatched before a move.
     pub fn list(&self, request: &KeyListRequest) -> KeyListReply {
         if (&request.entry, request.incarnation) != (&self.entry, self.incarnation) {
             return self.lists.page(request);
         }
         let adopted = self.maps.get(&request.service).map(|adopted| adopted.map.generation);
-        // Before the move is adopted, keys may still be dispatched to the older holders.
-        if self.contact.is_none() || adopted.is_none_or(|adopted| adopted < request.generation) {
+        // Until the move is adopted, keys may still be dispatched to older holders.
+        if self.last_sync.is_none() || adopted.is_none_or(|adopted| adopted < request.generation) {
             return KeyListReply::NotHeld;
         }
         let keys = self.dispatched.keys(&request.service);
-        let listed = |key: &Bytes, dispatched: &Dispatched| {
-            request.buckets & (1 << bucket_of(key)) != 0
-                && dispatched.generation != request.generation
+        let listed = |key: &Bytes, record: &DispatchRecord| {
+            request.buckets & (1 << bucket_of(key)) != 0 && record.generation != request.generation
         };
         let older = keys
-            .filter(|(key, dispatched)| listed(key, dispatched))
+            .filter(|(key, record)| listed(key, record))
             .map(|(key, _)| lists::hash_of(key))
-            .chain(self.inherited.older(&request.service, request.buckets, request.generation))
+            .chain(self.recovered.hashes_before(
+                &request.service,
+                request.buckets,
+                request.generation,
+            ))
             .filter(|hash| request.after.is_none_or(|after| *hash > after));
         lists::page(older.collect::<BTreeSet<_>>().into_iter())
     }
 
-    /// Keeps a whole list.
-    pub fn keep_list(&mut self, request: &KeyListRequest, keys: BTreeSet<KeyHash>) {
+    /// Stores the complete list of `request`, unless the move is no longer in the key map.
+    pub fn store_list(&mut self, request: &KeyListRequest, keys: BTreeSet<KeyHash>) {
         let map = self.maps.get(&request.service).map(|adopted| &adopted.map);
         if map.is_some_and(|map| map.moves.contains_key(&request.generation)) {
             self.lists.insert(request, keys);
         }
     }
 
-    /// Records the end of a dispatch. `not_run` is set only with proof.
+    /// Records the end of a dispatch. `not_run` must be set only with proof that the request did
+    /// not run.
     pub fn finish(&mut self, now: Time, service: &str, key: &Bytes, not_run: bool) {
         self.dispatched.end(now, service, key, not_run);
     }
 
-    /// Tells from this entry's own memory and the lists whether a witness certainly did not
-    /// dispatch the key before a move; `None` when it has to be asked.
-    fn clears(
+    /// Tells whether a witness certainly did not dispatch the key before a move, according to this
+    /// entry's own records and the lists it holds. Returns `None` when the witness must be asked.
+    fn excludes_dispatch(
         &self,
         service: &str,
         generation: Generation,
@@ -438,32 +463,35 @@
     ) -> Option<bool> {
         let Witness { entry, incarnation, complete, .. } = witness;
         if *entry == self.entry && *incarnation == self.incarnation {
-            let earlier = self.earlier(service, key);
-            return Some(*complete && earlier.is_none_or(|e| e.generation == generation));
+            let prior = self.prior_dispatch(service, key);
+            return Some(*complete && prior.is_none_or(|e| e.generation == generation));
         }
         let dispatched = self.lists.dispatched(service, generation, (entry, *incarnation), key)?;
         Some(*complete && !dispatched)
     }
 
-    fn replace(&mut self, now: Time, service: ServiceId, map: KeyMap) {
+    /// Adopts one key map and drops the lists of moves that are no longer in it.
+    fn replace_map(&mut self, now: Time, service: ServiceId, map: KeyMap) {
         let adopted = self.maps.entry(service.clone()).or_default();
         adopted.replace(now, map, (&self.entry, self.incarnation));
         let moves = &adopted.map.moves;
         self.lists.retain(&service, |generation| moves.contains_key(&generation));
     }
 
+    /// Dispatches a key to the holder of its open bucket, unless the holder is not live or a prior
+    /// dispatch went elsewhere. `prior` is `Some(None)` for a prior dispatch to an unknown holder.
     fn dispatch(
         &mut self,
         now: Time,
         service: &str,
         key: &Bytes,
         open: OpenBucket,
-        earlier: Option<Option<Holder>>,
+        prior: Option<Option<Holder>>,
         is_live: impl Fn(&Holder) -> bool,
     ) -> Decision {
         let OpenBucket { holder, generation, .. } = open;
-        match earlier {
-            Some(earlier) if earlier.as_ref() != Some(&holder) => Decision::Unknown,
+        match prior {
+            Some(prior) if prior.as_ref() != Some(&holder) => Decision::Unknown,
             Some(_) if !is_live(&holder) => Decision::Unknown,
             None if !is_live(&holder) => Decision::Refuse,
             Some(_) | None => {
@@ -473,10 +501,10 @@
         }
     }
 
-    /// Returns the state of the key's bucket if this entry may dispatch to its holder.
-    fn open(&self, now: Time, service: &str, key: &Bytes) -> Option<OpenBucket> {
-        let contact = self.contact?;
-        if now.saturating_sub(contact) >= self.outage_hold || !self.is_joined(now) {
+    /// Returns the key's bucket if this entry may dispatch to its holder.
+    fn open_bucket(&self, now: Time, service: &str, key: &Bytes) -> Option<OpenBucket> {
+        let last_sync = self.last_sync?;
+        if now.saturating_sub(last_sync) >= self.outage_hold || !self.is_joined(now) {
             return None;
         }
         let adopted = self.maps.get(service)?;
@@ -484,23 +512,23 @@
         if bucket.phase != Phase::Open {
             return None;
         }
-        let opened = adopted.opened.get(&bucket.generation).copied().unwrap_or(now);
-        let probed = now.saturating_sub(opened) < time::lease_wait(RETENTION);
+        let open_since = adopted.open_since.get(&bucket.generation).copied().unwrap_or(now);
+        let needs_probe = now.saturating_sub(open_since) < time::lease_wait(RETENTION);
         Some(OpenBucket {
             holder: bucket.holder.clone(),
             generation: bucket.generation,
-            witnesses: if probed { witnesses.to_vec() } else { Vec::new() },
+            witnesses: if needs_probe { witnesses.to_vec() } else { Vec::new() },
         })
     }
 }
 
-/// Tells whether a witness proves that the key was dispatched to no holder but `holder`.
-fn clears((witness, reply): &ProbeResult, holder: &Holder) -> bool {
+/// Tells whether a witness's answer proves that it dispatched the key to no holder but `holder`.
+fn excludes_others((witness, reply): &ProbeResult, holder: &Holder) -> bool {
     match reply {
         Some(ProbeReply::Dispatched { agent, incarnation }) => {
             *agent == holder.agent && *incarnation == holder.incarnation
         }
-        // A restarted process has lost what its predecessor dispatched.
+        // A restarted entry no longer knows which keys its previous incarnation dispatched.
         Some(ProbeReply::NotDispatched { entry, incarnation }) => {
             witness.complete && *entry == witness.entry && *incarnation == witness.incarnation
         }
@@ -508,36 +536,38 @@
     }
 }
 
-impl Adopted {
+impl AdoptedMap {
+    /// Returns the generation up to which the entry acknowledges moves.
     fn acknowledged(&self, now: Time, (entry, incarnation): (&str, Incarnation)) -> Generation {
         let generation = self.map.generation;
         let witnesses = self.map.moves.get(&generation).map_or(&[][..], Vec::as_slice);
-        // Nobody fetches the list of a witness whose table is not complete.
+        // No entry fetches the list of a witness whose table is incomplete.
         let listed = witnesses
             .iter()
             .any(|w| w.entry == entry && w.incarnation == incarnation && w.complete)
             && witnesses.iter().any(|w| w.entry != entry);
-        let waited = now.saturating_sub(self.since) >= COPY_LIMIT;
-        match !listed || self.copied >= generation || waited {
+        let waited = now.saturating_sub(self.adopted_at) >= LIST_COPY_LIMIT;
+        match !listed || self.copied_generation >= generation || waited {
             true => generation,
             false => self.acknowledged,
         }
     }
 
+    /// Replaces the map, unless the new one has a lower generation.
     fn replace(&mut self, now: Time, map: KeyMap, own: (&str, Incarnation)) {
         if map.generation < self.map.generation {
             return;
         }
         let acknowledged = self.acknowledged(now, own);
         if map.generation > self.map.generation && acknowledged == self.map.generation {
-            (self.acknowledged, self.since) = (acknowledged, now);
+            (self.acknowledged, self.adopted_at) = (acknowledged, now);
         }
         self.map = map;
         let map = &self.map;
-        self.opened.retain(|generation, _| map.moves.contains_key(generation));
+        self.open_since.retain(|generation, _| map.moves.contains_key(generation));
         for bucket in map.buckets.iter().filter(|bucket| bucket.phase == Phase::Open) {
             if map.moves.contains_key(&bucket.generation) {
-                self.opened.entry(bucket.generation).or_insert(now);
+                self.open_since.entry(bucket.generation).or_insert(now);
             }
         }
     }
--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -1,7 +1,8 @@
-//! Table of upstreams, choice of an upstream and retry budget of an entry.
+//! Routing of requests in an entry: the table of upstreams, the choice of an upstream and the retry
+//! budget.
 
 pub mod budget;
 pub mod table;
 
 pub use budget::RetryBudget;
-pub use table::{Feedback, Table, Target, UpstreamView};
+pub use table::{Feedback, Target, UpstreamTable, UpstreamView};
--- a/crates/core/tests/keys_world/entry.rs
+++ b/crates/core/tests/keys_world/entry.rs
@@ -1,44 +1,50 @@
-//! One entry of the world: its rounds, with each call of the store as a step of its own.
+//! A simulated entry, whose rounds are split into one step for each call to the store.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use bytes::Bytes;
 use peridotfold_core::keys::gate::ProbeResult;
-use peridotfold_core::keys::plan::{mover, witnesses, View};
-use peridotfold_core::keys::{Decision, Gate, Holder, KeyMap, Planner, Witness, RETENTION};
+use peridotfold_core::keys::plan::{coordinator, witnesses, ServiceView};
+use peridotfold_core::keys::{Decision, Holder, KeyGate, KeyMap, Planner, Witness, RETENTION};
 use peridotfold_core::membership::{EntryRecord, Members};
 use peridotfold_core::message::entry::{KeyListReply, KeyListRequest};
 use peridotfold_core::time::lease_wait;
 
-use super::{Agent, Store, HOLD, SERVICE};
+use super::{Agent, Store, OUTAGE_HOLD, SERVICE};
 
+/// Time after its last announcement at which an agent receives no more work.
 const EXPIRY: Duration = Duration::from_secs(3);
 
-/// The next step of a round.
-enum Next {
-    Beat,
+/// The next call to the store in a round.
+enum StoreCall {
+    Heartbeat,
     ListMap { start: Duration },
     ListRecords { map: (u64, KeyMap) },
     Plan { map: (u64, KeyMap) },
 }
 
+/// An entry with its connections and its view of entries and agents.
 pub struct Entry {
     pub name: String,
     pub incarnation: u64,
     pub up: bool,
     pub reaches_store: bool,
     pub reaches_entries: bool,
+    /// Whether the entry reaches each agent, by index.
     pub reaches: Vec<bool>,
-    pub gate: Gate,
+    pub gate: KeyGate,
     members: Members,
-    /// Pages of lists that are not whole yet.
+    /// Key hashes of partly fetched lists, by generation, witness and the witness's incarnation.
     pages: BTreeMap<(u64, String, u64), BTreeSet<u128>>,
     planner: Planner,
     started: Duration,
+    /// Previous incarnation, as found in the store.
     predecessor: Option<u64>,
+    /// Number of heartbeats.
     counter: u64,
-    next: Next,
+    next: StoreCall,
+    /// Last announcement of each agent, with its time.
     heard: BTreeMap<String, (Holder, Duration)>,
     leaving: Vec<Holder>,
 }
@@ -47,7 +53,7 @@
     pub fn new(index: usize, incarnation: u64, now: Duration, agents: usize) -> Self {
         let name = format!("entry-{index}");
         Entry {
-            gate: Gate::new(name.clone(), incarnation, HOLD),
+            gate: KeyGate::new(name.clone(), incarnation, OUTAGE_HOLD),
             name,
             incarnation,
             up: true,
@@ -56,17 +62,18 @@
             reaches: vec![true; agents],
             members: Members::new(Duration::from_secs(6)),
             pages: BTreeMap::new(),
-            planner: Planner::new(HOLD),
+            planner: Planner::new(OUTAGE_HOLD),
             started: now,
             predecessor: None,
             counter: 0,
-            next: Next::Beat,
+            next: StoreCall::Heartbeat,
             heard: BTreeMap::new(),
             leaving: Vec::new(),
         }
     }
 
-    pub fn hear(&mut self, now: Duration, agents: &[Agent]) {
+    /// Receives an announcement of each agent that is up and reachable.
+    pub fn receive_announcements(&mut self, now: Duration, agents: &[Agent]) {
         for (index, agent) in agents.iter().enumerate() {
             let name = agent.holder.agent.clone();
             match (agent.up && self.reaches[index], agent.leaving) {
@@ -101,28 +108,29 @@
         self.gate.decide_probed(now, SERVICE, key, generation, results, is_live)
     }
 
-    /// Lists the entries that have to deny a key before it is reported as not run.
-    pub fn confirming(&self, now: Duration) -> (Option<Duration>, Vec<Witness>) {
+    /// Returns the entries that must not have dispatched a key before it is reported as not run,
+    /// and the time at which they were listed.
+    pub fn confirm_witnesses(&self, now: Duration) -> (Option<Duration>, Vec<Witness>) {
         let records = self.members.records(now);
         let records: Vec<_> = records.map(|(record, age)| (record.clone(), age)).collect();
-        (self.members.listed(), witnesses(HOLD, &records))
+        (self.members.last_listed(), witnesses(OUTAGE_HOLD, &records))
     }
 
-    /// Takes one page of a list that another entry sent; keeps the list when it is whole.
-    pub fn take(&mut self, request: &KeyListRequest, reply: KeyListReply) {
+    /// Receives one page of a list from another entry, and stores the list once it is complete.
+    pub fn receive_page(&mut self, request: &KeyListRequest, reply: KeyListReply) {
         let KeyListReply::Page { keys, more } = reply else { return };
         let id = (request.generation, request.entry.clone(), request.incarnation);
         let pages = self.pages.entry(id.clone()).or_default();
         pages.extend(keys);
         if !more {
             let whole = self.pages.remove(&id).unwrap_or_default();
-            self.gate.keep_list(request, whole);
+            self.gate.store_list(request, whole);
         }
     }
 
-    /// Returns the requests for the next pages.
-    pub fn wanted(&self, now: Duration) -> Vec<KeyListRequest> {
-        let mut requests = self.gate.lacking(now);
+    /// Returns requests for the next page of each list that the entry is missing.
+    pub fn page_requests(&self, now: Duration) -> Vec<KeyListRequest> {
+        let mut requests = self.gate.missing(now);
         for request in &mut requests {
             let id = (request.generation, request.entry.clone(), request.incarnation);
             request.after = self.pages.get(&id).and_then(|keys| keys.last().copied());
@@ -130,57 +138,57 @@
         requests
     }
 
-    /// Performs the next call of the store. It may fail before or after it took effect.
+    /// Performs the next call to the store. The call may fail before or after it took effect.
     pub fn advance(&mut self, now: Duration, store: &mut Store, rng: &mut fastrand::Rng) {
         if !self.up {
             return;
         }
         self.gate.prune(now);
-        let next = std::mem::replace(&mut self.next, Next::Beat);
+        let next = std::mem::replace(&mut self.next, StoreCall::Heartbeat);
         if !self.reaches_store || rng.u32(0..20) == 0 {
             return;
         }
-        let is_lost = rng.u32(0..20) == 0;
+        let reply_lost = rng.u32(0..20) == 0;
         match next {
-            Next::Beat => {
-                self.beat(now, store, false);
-                if !is_lost {
-                    self.next = Next::ListMap { start: now };
+            StoreCall::Heartbeat => {
+                self.write_heartbeat(now, store, false);
+                if !reply_lost {
+                    self.next = StoreCall::ListMap { start: now };
                 }
             }
-            Next::ListMap { start } => {
+            StoreCall::ListMap { start } => {
                 let map = store.map.clone();
                 let listed = match map.0 {
                     0 => Vec::new(),
                     _ => vec![(SERVICE.to_owned(), map.1.clone())],
                 };
                 self.gate.adopt(start, now, listed);
-                self.next = Next::ListRecords { map };
+                self.next = StoreCall::ListRecords { map };
             }
-            Next::ListRecords { map } => {
+            StoreCall::ListRecords { map } => {
                 let records = store.records.values().map(|(_, record)| record.clone()).collect();
                 self.members.observe(now, records);
-                self.next = Next::Plan { map };
+                self.next = StoreCall::Plan { map };
             }
-            Next::Plan { map } => self.plan(now, store, map, is_lost),
+            StoreCall::Plan { map } => self.plan(now, store, map, reply_lost),
         }
     }
 
-    /// Writes the last record of a graceful shutdown.
+    /// Shuts the entry down gracefully: writes its last record and stops.
     pub fn stop(&mut self, now: Duration, store: &mut Store) {
         if self.reaches_store {
-            self.beat(now, store, true);
+            self.write_heartbeat(now, store, true);
         }
         self.up = false;
     }
 
-    fn beat(&mut self, now: Duration, store: &mut Store, stopped: bool) {
+    fn write_heartbeat(&mut self, now: Duration, store: &mut Store, stopped: bool) {
         self.counter += 1;
         let found = store.records.get(&self.name);
         if let Some((_, found)) = found.filter(|(_, r)| r.incarnation != self.incarnation) {
             self.predecessor = Some(found.incarnation);
             if found.joined {
-                self.gate.set_known();
+                self.gate.set_rejoined();
             }
             if found.complete {
                 self.gate.set_predecessor(found.incarnation);
@@ -205,22 +213,23 @@
         store.records.insert(self.name.clone(), (version, record));
     }
 
-    fn plan(&mut self, now: Duration, store: &mut Store, map: (u64, KeyMap), is_lost: bool) {
+    /// Plans moves, and writes the next key map unless the store has another version by now.
+    fn plan(&mut self, now: Duration, store: &mut Store, map: (u64, KeyMap), reply_lost: bool) {
         let records: Vec<_> =
             self.members.records(now).map(|(record, silent)| (record.clone(), silent)).collect();
-        let settled = self.gate.settled(now, SERVICE);
+        let expired_moves = self.gate.expired_moves(now, SERVICE);
         let live = self.live(now);
-        let view = View {
+        let view = ServiceView {
             service: SERVICE,
             map: &map.1,
             live: &live,
             leaving: &self.leaving,
             records: &records,
-            settled: &settled,
+            expired_moves: &expired_moves,
         };
-        self.planner.watch(now, &view);
+        self.planner.track_holders(now, &view);
         let alive = self.members.alive();
-        if mover(SERVICE, &alive).is_none_or(|view| view.entry != self.name) {
+        if coordinator(SERVICE, &alive).is_none_or(|view| view.entry != self.name) {
             return;
         }
         let Some(next) = self.planner.plan(now, &view) else { return };
@@ -228,11 +237,12 @@
             return;
         }
         store.map = (map.0 + 1, next.clone());
-        if !is_lost {
+        if !reply_lost {
             self.gate.adopt_one(now, SERVICE, next);
         }
     }
 
+    /// Returns the agent incarnations whose announcements have not expired.
     fn live(&self, now: Duration) -> Vec<Holder> {
         let heard = self.heard.values();
         heard.filter(|(_, at)| now - *at < EXPIRY).map(|(holder, _)| holder.clone()).collect()
