--- a/crates/core/src/flow/press.rs
+++ b/crates/core/src/flow/interference.rs
@@ -10,32 +10,32 @@
 
 /// Assumed rise of the logarithm of a tail by fill tasks on all of a worker's processors, and the
 /// variance of that assumption: pairs were seen from 0 to 6, most of them under 0.5.
-pub const FIRST_WEIGHT: f64 = 1.0;
-const FIRST_VARIANCE: f64 = 4.0;
+pub const INITIAL_WEIGHT: f64 = 1.0;
+const INITIAL_VARIANCE: f64 = 4.0;
 /// Limits of a learned weight: below zero by chance only, above the largest seen by twice.
-const LEAST_WEIGHT: f64 = -1.0;
-const MOST_WEIGHT: f64 = 12.0;
+const MIN_WEIGHT: f64 = -1.0;
+const MAX_WEIGHT: f64 = 12.0;
 /// Variance of the change of a logarithm between two looks by the serving task's own load.
-const NOISE: f64 = 0.1;
+const NOISE_VARIANCE: f64 = 0.1;
 /// Growth of a weight's variance with each sample: weights drift.
-const DRIFT: f64 = 1e-3;
+const DRIFT_VARIANCE: f64 = 1e-3;
 /// Largest believed change between two looks.
-const MOST_RISE: f64 = 1.0;
+const MAX_RISE: f64 = 1.0;
 /// Logarithm of the assumed tail without fill tasks, as a fraction of its target: it is about half.
-const FIRST_BASE: f64 = -0.75;
+const INITIAL_BASELINE: f64 = -0.75;
 /// Share of a new figure, each second: the load swings within some seconds.
-const LEARN_BASE: f64 = 0.3;
+const BASELINE_SMOOTHING: f64 = 0.3;
 /// A tail cannot be told from none below this percentage of the target.
-const LEAST_TAIL_PERCENT: u32 = 5;
+const MIN_TAIL_PERCENT: u32 = 5;
 
 /// Fill work on a worker: image and share of the worker's processors.
 pub type Share = (Image, f64);
 
 /// A learned weight, as it is kept for a successor.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct PressRow {
+pub struct InterferenceRow {
     pub serving: Image,
-    pub fill: Image,
+    pub best_effort: Image,
     pub mean: f32,
     pub variance: f32,
 }
@@ -48,32 +48,32 @@
 
 impl Default for Weight {
     fn default() -> Self {
-        Weight { mean: FIRST_WEIGHT, variance: FIRST_VARIANCE }
+        Weight { mean: INITIAL_WEIGHT, variance: INITIAL_VARIANCE }
     }
 }
 
 /// Learned weights by serving and fill image.
 #[derive(Debug, Clone, Default)]
-pub struct Press {
+pub struct Interference {
     weights: HashMap<(Image, Image), Weight>,
 }
 
 /// Logarithm of the highest tail of a worker's serving tasks of one image without fill tasks, as a
 /// fraction of its target.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Base(f64);
+pub struct Baseline(f64);
 
-impl Default for Base {
+impl Default for Baseline {
     fn default() -> Self {
-        Base(FIRST_BASE)
+        Baseline(INITIAL_BASELINE)
     }
 }
 
-impl Base {
+impl Baseline {
     /// Learns from a tail, in percent of its target, that is expected without fill tasks.
     pub fn learn(&mut self, percent: u32) {
-        let seen = (f64::from(percent.max(LEAST_TAIL_PERCENT)) / 100.0).ln();
-        self.0 += LEARN_BASE * (seen - self.0);
+        let acknowledged = (f64::from(percent.max(MIN_TAIL_PERCENT)) / 100.0).ln();
+        self.0 += BASELINE_SMOOTHING * (acknowledged - self.0);
     }
 
     /// Expected tail in percent of its target.
@@ -82,12 +82,12 @@
     }
 }
 
-impl Press {
+impl Interference {
     /// Returns what a successor needs.
-    pub fn rows(&self) -> Vec<PressRow> {
-        let row = |((serving, fill), weight): (&(Image, Image), &Weight)| PressRow {
+    pub fn rows(&self) -> Vec<InterferenceRow> {
+        let row = |((serving, best_effort), weight): (&(Image, Image), &Weight)| InterferenceRow {
             serving: *serving,
-            fill: *fill,
+            best_effort: *best_effort,
             mean: weight.mean as f32,
             variance: weight.variance as f32,
         };
@@ -95,56 +95,59 @@
     }
 
     /// Takes over what a predecessor has learned.
-    pub fn restore(&mut self, rows: &[PressRow]) {
-        let is_sound = |row: &&PressRow| {
+    pub fn restore(&mut self, rows: &[InterferenceRow]) {
+        let is_valid = |row: &&InterferenceRow| {
             row.mean.is_finite() && row.variance.is_finite() && row.variance > 0.0
         };
-        for row in rows.iter().filter(is_sound) {
+        for row in rows.iter().filter(is_valid) {
             let weight = Weight { mean: row.mean.into(), variance: row.variance.into() };
-            self.weights.insert((row.serving, row.fill), weight);
+            self.weights.insert((row.serving, row.best_effort), weight);
         }
     }
 
     /// Expected rise of the logarithm of a serving image's tail per share of fill work.
-    pub fn weight(&self, serving: Image, fill: Image) -> f64 {
-        self.weights.get(&(serving, fill)).map_or(FIRST_WEIGHT, |weight| weight.mean.max(0.0))
+    pub fn weight(&self, serving: Image, best_effort: Image) -> f64 {
+        self.weights
+            .get(&(serving, best_effort))
+            .map_or(INITIAL_WEIGHT, |weight| weight.mean.max(0.0))
     }
 
     /// The same as a whole number for messages.
-    pub fn scaled(&self, serving: Image, fill: Image) -> u32 {
-        (self.weight(serving, fill) * WEIGHT_SCALE) as u32
+    pub fn scaled_weight(&self, serving: Image, best_effort: Image) -> u32 {
+        (self.weight(serving, best_effort) * WEIGHT_SCALE) as u32
     }
 
     /// Expected rise of the logarithm of a serving image's tail beside these shares.
     pub fn rise(&self, serving: Image, shares: &[Share]) -> f64 {
-        shares.iter().map(|(fill, share)| self.weight(serving, *fill) * share).sum()
+        shares.iter().map(|(best_effort, share)| self.weight(serving, *best_effort) * share).sum()
     }
 
     /// Learns from what changed between two looks at a worker of `room` thousandths of a core: a
     /// Kalman filter for each pair, by the pairs that changed.
-    pub fn learn(&mut self, sample: &Sample, room: u64) {
+    pub fn learn(&mut self, sample: &Sample, capacity: u64) {
         let shares: Vec<Share> = sample
             .changes
             .iter()
-            .map(|(image, change)| (*image, f64::from(*change) / room.max(1) as f64))
+            .map(|(image, change)| (*image, f64::from(*change) / capacity.max(1) as f64))
             .collect();
         for (serving, rise) in &sample.rises {
-            let seen = (f64::from(*rise) / 1_000.0).clamp(-MOST_RISE, MOST_RISE);
+            let acknowledged = (f64::from(*rise) / 1_000.0).clamp(-MAX_RISE, MAX_RISE);
             let mut pairs: Vec<(Image, f64, Weight)> = Vec::with_capacity(shares.len());
-            for (fill, share) in &shares {
-                let known = self.weights.get(&(*serving, *fill)).copied().unwrap_or_default();
-                pairs.push((*fill, *share, known));
+            for (best_effort, share) in &shares {
+                let known =
+                    self.weights.get(&(*serving, *best_effort)).copied().unwrap_or_default();
+                pairs.push((*best_effort, *share, known));
             }
             let expected: f64 = pairs.iter().map(|(_, share, known)| known.mean * share).sum();
             let spread: f64 = pairs.iter().map(|(_, s, known)| known.variance * s * s).sum();
-            for (fill, share, known) in pairs {
-                let gain = known.variance * share / (NOISE + spread);
-                let mean = known.mean + gain * (seen - expected);
+            for (best_effort, share, known) in pairs {
+                let gain = known.variance * share / (NOISE_VARIANCE + spread);
+                let mean = known.mean + gain * (acknowledged - expected);
                 let weight = Weight {
-                    mean: mean.clamp(LEAST_WEIGHT, MOST_WEIGHT),
-                    variance: known.variance * (1.0 - gain * share) + DRIFT,
+                    mean: mean.clamp(MIN_WEIGHT, MAX_WEIGHT),
+                    variance: known.variance * (1.0 - gain * share) + DRIFT_VARIANCE,
                 };
-                self.weights.insert((*serving, fill), weight);
+                self.weights.insert((*serving, best_effort), weight);
             }
         }
     }
--- a/crates/core/src/flow/message.rs
+++ b/crates/core/src/flow/message.rs
@@ -71,7 +71,7 @@
     pub id: String,
     pub service: String,
     pub zone: String,
-    pub room: Resources,
+    pub capacity: Resources,
     /// Kind and rack.
     pub labels: Vec<String>,
     pub draining: bool,
@@ -82,8 +82,8 @@
 /// What an agent needs to know of a task to pace it and to judge its progress.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskTraits {
-    pub lasting: bool,
-    pub fills: bool,
+    pub long_running: bool,
+    pub best_effort: bool,
     pub target_ms: u32,
     pub cpu_milli: u64,
     pub image: Image,
@@ -128,7 +128,7 @@
 
 /// From an agent to the owner.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Up {
+pub enum AgentMessage {
     /// The worker's state after it has refused all older orders. `None`: no worker runs here.
     Attach {
         worker: Option<WorkerInfo>,
@@ -169,13 +169,13 @@
         pressure: Pressure,
         samples: Vec<Sample>,
         /// Expected tails without fill tasks by serving image, in percent of the target.
-        alone: Vec<(Image, u32)>,
+        baselines: Vec<(Image, u32)>,
     },
 }
 
 /// From the owner to an agent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Down {
+pub enum OwnerMessage {
     Welcome {
         token: Token,
         /// Other entries to ask when this one is lost.
@@ -211,7 +211,7 @@
 
 /// From an entry to the owner.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Ask {
+pub enum EntryRequest {
     State {
         query: u64,
         job: JobNumber,
@@ -235,7 +235,7 @@
 
 /// From the owner to an entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Answer {
+pub enum OwnerReply {
     Redirect {
         owner: Option<SocketAddr>,
     },
--- a/crates/core/src/flow/model.rs
+++ b/crates/core/src/flow/model.rs
@@ -87,33 +87,33 @@
     /// Steps that must be done before.
     pub after: Vec<u16>,
     /// Whether tasks save their progress.
-    pub saves: bool,
+    pub has_checkpoints: bool,
     /// Whether tasks run only all together.
     pub gang: bool,
     /// Whether tasks are slowed when they run on more than one rack.
-    pub tight: bool,
+    pub same_rack: bool,
     /// Label the worker must have.
-    pub requires: Option<String>,
+    pub required_label: Option<String>,
     /// Rack of the data.
-    pub near: Option<String>,
+    pub preferred_rack: Option<String>,
     /// At most this many tasks on one worker; 0: no limit.
     pub per_worker: u32,
     /// Whether tasks run until the job is cancelled.
-    pub lasting: bool,
+    pub long_running: bool,
     /// What the tasks run; tasks of one image behave alike.
     pub image: String,
     /// Tail latency below which a lasting task must stay; 0: none.
     pub target_ms: u32,
     /// Whether tasks take only processors that others leave unused.
-    pub fills: bool,
+    pub best_effort: bool,
     /// Lasting tasks that may be away at a time by our doing.
-    pub may_miss: u32,
+    pub max_unavailable: u32,
 }
 
 impl Step {
     /// Returns what a task reserves on its worker.
     pub fn reserved(&self) -> Resources {
-        match self.fills {
+        match self.best_effort {
             true => Resources { cpu_milli: 0, ..self.need },
             false => self.need,
         }
@@ -141,7 +141,7 @@
 }
 
 /// Largest accepted number of tasks of one job, in one occurrence.
-const TASK_LIMIT: u64 = 100_000;
+const MAX_TASKS: u64 = 100_000;
 
 impl JobSpec {
     /// Checks what the steps refer to.
@@ -154,8 +154,8 @@
             return Err("a job needs at least one step".to_owned());
         }
         let tasks: u64 = self.steps.iter().map(|step| u64::from(step.count)).sum();
-        if tasks > TASK_LIMIT {
-            return Err(format!("{tasks} tasks exceed {TASK_LIMIT}"));
+        if tasks > MAX_TASKS {
+            return Err(format!("{tasks} tasks exceed {MAX_TASKS}"));
         }
         for (number, step) in self.steps.iter().enumerate() {
             if step.count == 0 {
--- a/crates/core/src/flow/node.rs
+++ b/crates/core/src/flow/node.rs
@@ -9,11 +9,13 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::gauge::Gauge;
-use super::message::{Down, EndNumber, Sample, Start, TaskTraits, Token, Up, WorkerInfo};
+use super::message::{
+    AgentMessage, EndNumber, OwnerMessage, Sample, Start, TaskTraits, Token, WorkerInfo,
+};
 use super::model::{Run, TaskId};
 use super::owner::Decision;
 use super::pace::Pacer;
+use super::sampler::Sampler;
 use crate::time::Time;
 
 /// Slowest rate of a worker's clock.
@@ -21,32 +23,32 @@
 /// Time between two requests for permission.
 const PING_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Time after a listing with unacknowledged ends at which the worker is looked at again.
-const UNSEEN_PAUSE: Duration = Duration::from_millis(60);
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
+const UNACKED_DELAY: Duration = Duration::from_millis(60);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Longest wait of a look, so that permission is renewed and checkpoints are read.
-const LONG_WAIT: Duration = Duration::from_millis(1_000);
+const MAX_LIST_WAIT: Duration = Duration::from_millis(1_000);
 /// Wait of a look while tails have to be followed.
-const SHORT_WAIT: Duration = Duration::from_millis(450);
-const SAVED_INTERVAL: Duration = Duration::from_secs(1);
+const PACING_LIST_WAIT: Duration = Duration::from_millis(450);
+const CHECKPOINT_INTERVAL: Duration = Duration::from_secs(1);
 /// Refused connections in a row that prove that the worker's process has ended.
-const REFUSALS: u32 = 2;
-const IDLE_POLL: Duration = Duration::from_millis(500);
+const MAX_REFUSALS: u32 = 2;
+const MAX_POLL_DELAY: Duration = Duration::from_millis(500);
 
 /// A call to the worker.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Call {
     /// Renews the permission and lists runs and ends.
-    Look {
+    List {
         worker: String,
         token: Token,
-        seen: EndNumber,
-        lapse: Option<u64>,
+        acknowledged: EndNumber,
+        deadline: Option<u64>,
         wait: Duration,
     },
     Start {
         worker: String,
         token: Token,
-        lapse: u64,
+        deadline: u64,
         start: Box<Start>,
     },
     Stop {
@@ -84,10 +86,10 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     Call(Call),
-    Send(Up),
+    Send(AgentMessage),
     Log(Decision),
     /// Ends the session: the worker obeys a later one.
-    Relink,
+    Reconnect,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -108,53 +110,53 @@
     must_stop: bool,
     stop_sent: Option<Time>,
     percent: u32,
-    moved: Time,
+    progress_at: Time,
     saved: String,
-    saved_sent: bool,
-    paced: u32,
-    stall_sent: bool,
+    checkpoint_sent: bool,
+    pace: u32,
+    stall_reported: bool,
 }
 
 #[derive(Debug)]
 struct Worker {
     info: WorkerInfo,
-    beat: u64,
+    heartbeat: u64,
     /// Its clock at the end of the last exchange, and when that was.
     clock: Option<(u64, Time)>,
-    seen: EndNumber,
+    acknowledged: EndNumber,
     forwarded: EndNumber,
     refusals: u32,
 }
 
 #[derive(Debug)]
-struct Link {
+struct Session {
     token: Token,
     is_attached: bool,
 }
 
 /// The agent.
 #[derive(Debug, Default)]
-pub struct Node {
+pub struct AgentState {
     worker: Option<Worker>,
     /// A worker that has reported but not answered yet.
     candidate: Option<(WorkerInfo, u64)>,
     /// The last known worker has certainly ended.
-    is_empty: bool,
-    link: Option<Link>,
+    worker_ended: bool,
+    session: Option<Session>,
     runs: BTreeMap<TaskId, LocalRun>,
-    permit_until: Time,
-    looking: Option<(Token, Time)>,
-    next_look: Time,
+    permission_until: Time,
+    listing: Option<(Token, Time)>,
+    next_list: Time,
     next_ping: Time,
-    next_saved: Time,
+    next_checkpoint_report: Time,
     pacer: Pacer,
-    gauge: Gauge,
+    sampler: Sampler,
     /// What the gauge has told since the last request for permission.
     samples: Vec<Sample>,
     actions: Vec<Action>,
 }
 
-impl Node {
+impl AgentState {
     /// Returns what the shell has to do.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
@@ -165,20 +167,21 @@
     }
 
     /// Takes a report of a worker about itself; `sequence` rises with each report of one life.
-    pub fn beat(&mut self, now: Time, info: WorkerInfo, sequence: u64) {
+    pub fn heartbeat(&mut self, now: Time, info: WorkerInfo, sequence: u64) {
         match &mut self.worker {
             Some(worker) if worker.info.id == info.id => {
-                if sequence <= worker.beat {
+                if sequence <= worker.heartbeat {
                     return;
                 }
-                worker.beat = sequence;
+                worker.heartbeat = sequence;
                 let begins_drain = info.draining && !worker.info.draining;
                 let (id, remaining) = (info.id.clone(), info.remaining);
                 worker.info = info;
                 if begins_drain {
                     self.log("worker_drains", format!("worker={id} remaining={remaining:?}"));
                     if self.is_attached() {
-                        self.actions.push(Action::Send(Up::Draining { worker: id, remaining }));
+                        self.actions
+                            .push(Action::Send(AgentMessage::Draining { worker: id, remaining }));
                     }
                 }
             }
@@ -187,7 +190,7 @@
                     self.candidate.as_ref().is_some_and(|(known, _)| known.id == info.id);
                 if !is_known {
                     self.log("worker_reported", format!("worker={}", info.id));
-                    self.next_look = now;
+                    self.next_list = now;
                 }
                 self.candidate = Some((info, sequence));
             }
@@ -196,7 +199,7 @@
     }
 
     /// Takes the sign-off of a worker.
-    pub fn leave(&mut self, now: Time, id: &str) {
+    pub fn deregister(&mut self, now: Time, id: &str) {
         if self.worker.as_ref().is_some_and(|worker| worker.info.id == id) {
             self.lose_worker("signed off");
         }
@@ -209,7 +212,7 @@
     /// Tells whether the worker can be given a report's acknowledgement: the owner knows of it, or
     /// nobody owns the work.
     pub fn is_attached(&self) -> bool {
-        self.link.as_ref().is_some_and(|link| link.is_attached)
+        self.session.as_ref().is_some_and(|session| session.is_attached)
     }
 
     fn lose_worker(&mut self, reason: &str) {
@@ -218,27 +221,27 @@
         self.log("worker_lost", detail);
         self.runs.clear();
         self.pacer = Pacer::default();
-        self.gauge = Gauge::default();
-        self.is_empty = true;
-        self.looking = None;
+        self.sampler = Sampler::default();
+        self.worker_ended = true;
+        self.listing = None;
         if self.is_attached() {
-            self.actions.push(Action::Send(Up::Gone { worker: worker.info.id }));
+            self.actions.push(Action::Send(AgentMessage::Gone { worker: worker.info.id }));
         }
     }
 
     /// The connection to the owner has ended.
     pub fn disconnected(&mut self) {
-        self.link = None;
-        self.looking = None;
+        self.session = None;
+        self.listing = None;
     }
 
     /// Takes a message of the owner.
-    pub fn receive(&mut self, now: Time, message: Down) {
+    pub fn receive(&mut self, now: Time, message: OwnerMessage) {
         match message {
-            Down::Welcome { token, .. } => {
-                self.link = Some(Link { token, is_attached: false });
-                self.looking = None;
-                self.next_look = now;
+            OwnerMessage::Welcome { token, .. } => {
+                self.session = Some(Session { token, is_attached: false });
+                self.listing = None;
+                self.next_list = now;
                 self.next_ping = now;
                 // Starts of the older session are refused from now on or listed.
                 for run in self.runs.values_mut() {
@@ -247,50 +250,50 @@
                     }
                 }
             }
-            Down::Pong { sent, permission, weights, .. } => {
-                self.permit_until = self.permit_until.max(sent + permission);
-                for (serving, fill, weight) in weights {
-                    self.pacer.know(serving, fill, weight);
+            OwnerMessage::Pong { sent, permission, weights, .. } => {
+                self.permission_until = self.permission_until.max(sent + permission);
+                for (serving, best_effort, weight) in weights {
+                    self.pacer.set_weight(serving, best_effort, weight);
                 }
             }
-            Down::Start(start) => self.order(now, start),
-            Down::Stop { task, run } => self.stop(now, task, run),
-            Down::Seen { worker, number } => {
+            OwnerMessage::Start(start) => self.start_task(now, start),
+            OwnerMessage::Stop { task, run } => self.stop(now, task, run),
+            OwnerMessage::Seen { worker, number } => {
                 if let Some(known) = self.worker.as_mut().filter(|known| known.info.id == worker) {
-                    known.seen = known.seen.max(number);
-                    if known.seen >= known.forwarded {
-                        self.next_look = self.next_look.min(now);
+                    known.acknowledged = known.acknowledged.max(number);
+                    if known.acknowledged >= known.forwarded {
+                        self.next_list = self.next_list.min(now);
                     }
                 }
             }
-            Down::Traits { rows } => {
+            OwnerMessage::Traits { rows } => {
                 for (task, traits) in rows {
                     if let Some(run) = self.runs.get_mut(&task) {
                         run.traits = traits;
                     }
                 }
             }
-            Down::Redirect { .. } => {}
+            OwnerMessage::Redirect { .. } => {}
         }
         self.poll(now);
     }
 
     /// Worker's clock value by which a permission that ends at `until` has surely run out.
-    fn lapse(&self, until: Time) -> Option<u64> {
+    fn worker_deadline(&self, until: Time) -> Option<u64> {
         let (clock, at) = self.worker.as_ref()?.clock?;
         let left = until.checked_sub(at)? * CLOCK_RATE_PERCENT / 100;
         Some(clock + left.as_millis() as u64)
     }
 
-    fn order(&mut self, now: Time, start: Box<Start>) {
+    fn start_task(&mut self, now: Time, start: Box<Start>) {
         let (task, run) = (start.task, start.run);
-        let lapse = self.lapse(self.permit_until);
-        let token = self.link.as_ref().map(|link| link.token);
+        let deadline = self.worker_deadline(self.permission_until);
+        let token = self.session.as_ref().map(|session| session.token);
         let worker = self.worker.as_ref().map(|worker| worker.info.id.clone());
-        let (Some(lapse), Some(token), Some(worker)) = (lapse, token, worker) else {
+        let (Some(deadline), Some(token), Some(worker)) = (deadline, token, worker) else {
             return self.not_started(task, run, "no worker or clock");
         };
-        if now >= self.permit_until {
+        if now >= self.permission_until {
             return self.not_started(task, run, "no permission");
         }
         if self.worker.as_ref().is_some_and(|worker| worker.info.draining) {
@@ -304,26 +307,26 @@
             must_stop: false,
             stop_sent: None,
             percent: 0,
-            moved: now,
+            progress_at: now,
             saved: start.checkpoint.clone(),
-            saved_sent: true,
-            paced: 100,
-            stall_sent: false,
+            checkpoint_sent: true,
+            pace: 100,
+            stall_reported: false,
         };
         self.runs.insert(task, local);
         for (serving, weight) in &start.weights {
-            self.pacer.know(*serving, start.traits.image, *weight);
+            self.pacer.set_weight(*serving, start.traits.image, *weight);
         }
-        self.actions.push(Action::Call(Call::Start { worker, token, lapse, start }));
+        self.actions.push(Action::Call(Call::Start { worker, token, deadline, start }));
     }
 
     fn not_started(&mut self, task: TaskId, run: Run, reason: &str) {
         if self.runs.get(&task).is_some_and(|known| known.run == run) {
             self.runs.remove(&task);
         }
-        if self.link.is_some() {
+        if self.session.is_some() {
             let reason = reason.to_owned();
-            self.actions.push(Action::Send(Up::NotStarted { task, run, reason }));
+            self.actions.push(Action::Send(AgentMessage::NotStarted { task, run, reason }));
         }
     }
 
@@ -336,12 +339,12 @@
     }
 
     fn send_stops(&mut self, now: Time) {
-        let Some(token) = self.link.as_ref().map(|link| link.token) else { return };
+        let Some(token) = self.session.as_ref().map(|session| session.token) else { return };
         let Some(worker) = self.worker.as_ref().map(|worker| worker.info.id.clone()) else {
             return;
         };
         for (task, run) in &mut self.runs {
-            let is_due = run.stop_sent.is_none_or(|at| now >= at + RETRY_PAUSE * 3);
+            let is_due = run.stop_sent.is_none_or(|at| now >= at + RETRY_DELAY * 3);
             if run.must_stop && run.state == RunState::Running && is_due {
                 run.stop_sent = Some(now);
                 let (worker, task, run) = (worker.clone(), *task, run.run);
@@ -360,10 +363,11 @@
             Outcome::Done => {
                 known.state = RunState::Running;
                 known.since = now;
-                known.moved = now;
-                if known.traits.fills {
+                known.progress_at = now;
+                if known.traits.best_effort {
                     let traits = known.traits;
-                    let percent = self.pacer.admit(self.room(), traits.image, traits.cpu_milli);
+                    let percent =
+                        self.pacer.pace_new_task(self.capacity(), traits.image, traits.cpu_milli);
                     self.send_paces(&[(task, percent)]);
                 }
             }
@@ -372,12 +376,12 @@
             Outcome::OtherLife => self.lose_worker("another life answers"),
             Outcome::NotThere => self.not_started(task, run, "connection refused"),
             Outcome::Unclear => {
-                let Some(link) = &mut self.link else { return };
+                let Some(session) = &mut self.session else { return };
                 // A higher token makes the worker refuse the start if it comes later.
-                link.token += 1;
-                known.state = RunState::Doubtful(link.token);
-                self.looking = None;
-                self.next_look = now;
+                session.token += 1;
+                known.state = RunState::Doubtful(session.token);
+                self.listing = None;
+                self.next_list = now;
                 self.log("start_unclear", format!("task={task} run={run}"));
             }
         }
@@ -389,14 +393,14 @@
     pub fn order_failed(&mut self, task: TaskId) {
         if let Some(run) = self.runs.get_mut(&task) {
             // Any value makes the level of the next look differ.
-            run.paced = u32::MAX;
+            run.pace = u32::MAX;
         }
     }
 
     /// Takes the outcome of a look that brought no listing.
-    pub fn look_failed(&mut self, now: Time, worker: &str, token: Token, outcome: &Outcome) {
-        self.looking = self.looking.filter(|(looking, _)| *looking != token);
-        self.next_look = now + RETRY_PAUSE;
+    pub fn list_failed(&mut self, now: Time, worker: &str, token: Token, outcome: &Outcome) {
+        self.listing = self.listing.filter(|(listing, _)| *listing != token);
+        self.next_list = now + RETRY_DELAY;
         if self.candidate.as_ref().is_some_and(|(info, _)| info.id == worker) {
             if *outcome == Outcome::OtherLife {
                 self.candidate = None;
@@ -410,84 +414,93 @@
             Outcome::OtherLife => self.lose_worker("another life answers"),
             Outcome::NotThere => {
                 known.refusals += 1;
-                if known.refusals >= REFUSALS {
+                if known.refusals >= MAX_REFUSALS {
                     self.lose_worker("connection refused");
                 }
             }
             _ => self.log("look_failed", format!("worker={worker} outcome={outcome:?}")),
         }
         if *outcome == Outcome::OldToken {
-            self.actions.push(Action::Relink);
+            self.actions.push(Action::Reconnect);
         }
         self.poll(now);
     }
 
     /// Performs what is due.
     pub fn poll(&mut self, now: Time) {
-        let Some(link) = &self.link else { return };
-        let (token, is_attached) = (link.token, link.is_attached);
+        let Some(session) = &self.session else { return };
+        let (token, is_attached) = (session.token, session.is_attached);
         if now >= self.next_ping {
             self.next_ping = now + PING_INTERVAL;
             let pressure = self.pacer.pressure();
             let samples = std::mem::take(&mut self.samples);
-            let alone = self.pacer.alone();
-            self.actions.push(Action::Send(Up::Ping { sent: now, pressure, samples, alone }));
+            let baselines = self.pacer.baselines();
+            self.actions.push(Action::Send(AgentMessage::Ping {
+                sent: now,
+                pressure,
+                samples,
+                baselines,
+            }));
         }
-        if self.is_empty && self.worker.is_none() && !is_attached && self.candidate.is_none() {
+        if self.worker_ended && self.worker.is_none() && !is_attached && self.candidate.is_none() {
             // Nothing of the last worker can run any more.
-            if let Some(link) = &mut self.link {
-                link.is_attached = true;
+            if let Some(session) = &mut self.session {
+                session.is_attached = true;
             }
-            let nothing = Up::Attach { worker: None, running: Vec::new(), ends: Vec::new() };
+            let nothing =
+                AgentMessage::Attach { worker: None, running: Vec::new(), ends: Vec::new() };
             self.actions.push(Action::Send(nothing));
         }
-        if is_attached && now >= self.next_saved {
-            self.next_saved = now + SAVED_INTERVAL;
+        if is_attached && now >= self.next_checkpoint_report {
+            self.next_checkpoint_report = now + CHECKPOINT_INTERVAL;
             let mut rows = Vec::new();
-            for (task, run) in self.runs.iter_mut().filter(|(_, run)| !run.saved_sent) {
-                run.saved_sent = true;
+            for (task, run) in self.runs.iter_mut().filter(|(_, run)| !run.checkpoint_sent) {
+                run.checkpoint_sent = true;
                 rows.push((*task, run.run, run.saved.clone()));
             }
             if !rows.is_empty() {
-                self.actions.push(Action::Send(Up::Saved { rows }));
+                self.actions.push(Action::Send(AgentMessage::Saved { rows }));
             }
         }
         self.send_stops(now);
-        if self.looking.is_none() && now >= self.next_look {
-            self.look(now, token);
+        if self.listing.is_none() && now >= self.next_list {
+            self.list(now, token);
         }
     }
 
-    fn look(&mut self, now: Time, token: Token) {
-        let (worker, seen) = match (&self.candidate, &self.worker) {
+    fn list(&mut self, now: Time, token: Token) {
+        let (worker, acknowledged) = match (&self.candidate, &self.worker) {
             (Some((info, _)), _) => (info.id.clone(), 0),
-            (None, Some(worker)) => (worker.info.id.clone(), worker.seen),
+            (None, Some(worker)) => (worker.info.id.clone(), worker.acknowledged),
             (None, None) => return,
         };
         let is_current = self.worker.as_ref().is_some_and(|known| known.info.id == worker);
-        let lapse = self.lapse(self.permit_until).filter(|_| is_current && now < self.permit_until);
+        let deadline = self
+            .worker_deadline(self.permission_until)
+            .filter(|_| is_current && now < self.permission_until);
         let has = |pick: fn(&TaskTraits) -> bool| self.runs.values().any(|run| pick(&run.traits));
-        let follows = has(|traits| traits.target_ms > 0) && has(|traits| traits.fills);
-        let is_unseen = self.worker.as_ref().is_some_and(|known| known.forwarded > known.seen);
+        let needs_pacing = has(|traits| traits.target_ms > 0) && has(|traits| traits.best_effort);
+        let has_unacked =
+            self.worker.as_ref().is_some_and(|known| known.forwarded > known.acknowledged);
         let wait = match self.is_attached() && is_current {
             false => Duration::ZERO,
-            true if is_unseen => Duration::ZERO,
-            true if follows => SHORT_WAIT,
-            true => LONG_WAIT,
+            true if has_unacked => Duration::ZERO,
+            true if needs_pacing => PACING_LIST_WAIT,
+            true => MAX_LIST_WAIT,
         };
-        self.looking = Some((token, now));
-        self.actions.push(Action::Call(Call::Look { worker, token, seen, lapse, wait }));
+        self.listing = Some((token, now));
+        self.actions.push(Action::Call(Call::List { worker, token, acknowledged, deadline, wait }));
     }
 
     /// Time until the next call of [`Node::poll`] is due, without further input.
     pub fn next_poll(&self, now: Time) -> Duration {
-        if self.link.is_none() {
-            return IDLE_POLL;
+        if self.session.is_none() {
+            return MAX_POLL_DELAY;
         }
-        let look = match (&self.looking, self.worker.is_some() || self.candidate.is_some()) {
-            (None, true) => self.next_look.saturating_sub(now),
-            _ => IDLE_POLL,
+        let list = match (&self.listing, self.worker.is_some() || self.candidate.is_some()) {
+            (None, true) => self.next_list.saturating_sub(now),
+            _ => MAX_POLL_DELAY,
         };
-        look.min(self.next_ping.saturating_sub(now)).min(IDLE_POLL)
+        list.min(self.next_ping.saturating_sub(now)).min(MAX_POLL_DELAY)
     }
 }
--- a/crates/core/src/flow/node/listing.rs
+++ b/crates/core/src/flow/node/listing.rs
@@ -3,17 +3,17 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::{Action, LocalRun, Node, RunState, Worker, LONG_WAIT, UNSEEN_PAUSE};
-use crate::flow::message::{End, Running, Token, Up};
+use super::{Action, AgentState, LocalRun, RunState, Worker, MAX_LIST_WAIT, UNACKED_DELAY};
+use crate::flow::message::{AgentMessage, End, Running, Token};
 use crate::flow::model::TaskId;
 use crate::time::Time;
 
 /// Time without progress after which a task is reported as stalled.
-const STALL_AFTER: Duration = Duration::from_millis(2_500);
+const STALL_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Pace in percent below which a task is not expected to show progress.
-const STALL_PACE: u32 = 50;
+const MIN_STALL_PACE: u32 = 50;
 
-impl Node {
+impl AgentState {
     /// Takes a listing, with the worker's clock.
     pub fn listed(
         &mut self,
@@ -24,24 +24,24 @@
         running: Vec<Running>,
         ends: Vec<End>,
     ) {
-        self.looking = self.looking.filter(|(looking, _)| *looking != token);
-        self.adopt_candidate(worker);
-        let Some(link) = &self.link else { return };
-        let (is_attached, session) = (link.is_attached, link.token);
+        self.listing = self.listing.filter(|(listing, _)| *listing != token);
+        self.adopt_worker(worker);
+        let Some(session) = &self.session else { return };
+        let (is_attached, session_token) = (session.is_attached, session.token);
         let Some(known) = self.worker.as_mut().filter(|known| known.info.id == worker) else {
             return;
         };
         known.clock = Some((clock, now));
         known.refusals = 0;
         if !is_attached {
-            if token == session {
+            if token == session_token {
                 self.attach(now, running, ends);
             }
             return self.poll(now);
         }
         let fresh: Vec<End> = ends.into_iter().filter(|end| end.number > known.forwarded).collect();
         known.forwarded = fresh.iter().map(|end| end.number).max().unwrap_or(known.forwarded);
-        let is_unseen = known.forwarded > known.seen;
+        let has_unacked = known.forwarded > known.acknowledged;
         for end in &fresh {
             if self.runs.get(&end.task).is_some_and(|run| run.run <= end.run) {
                 self.runs.remove(&end.task);
@@ -49,25 +49,32 @@
         }
         if !fresh.is_empty() {
             let worker = worker.to_owned();
-            self.actions.push(Action::Send(Up::Ends { worker, ends: fresh }));
+            self.actions.push(Action::Send(AgentMessage::Ends { worker, ends: fresh }));
         }
-        self.compare(now, token, &running);
+        self.reconcile(now, token, &running);
         self.pace(now, &running);
-        self.next_look = if is_unseen { now + UNSEEN_PAUSE } else { now };
+        self.next_list = if has_unacked { now + UNACKED_DELAY } else { now };
         self.poll(now);
     }
 
-    fn adopt_candidate(&mut self, id: &str) {
+    fn adopt_worker(&mut self, id: &str) {
         let is_candidate = self.candidate.as_ref().is_some_and(|(info, _)| info.id == id);
         match self.candidate.take() {
-            Some((info, beat)) if is_candidate => {
+            Some((info, heartbeat)) if is_candidate => {
                 self.lose_worker("replaced");
-                self.is_empty = false;
-                let worker = Worker { info, beat, clock: None, seen: 0, forwarded: 0, refusals: 0 };
+                self.worker_ended = false;
+                let worker = Worker {
+                    info,
+                    heartbeat,
+                    clock: None,
+                    acknowledged: 0,
+                    forwarded: 0,
+                    refusals: 0,
+                };
                 self.worker = Some(worker);
-                self.next_look = Time::ZERO;
-                if let Some(link) = &mut self.link {
-                    link.is_attached = false;
+                self.next_list = Time::ZERO;
+                if let Some(session) = &mut self.session {
+                    session.is_attached = false;
                 }
             }
             other => self.candidate = other,
@@ -77,7 +84,8 @@
     /// Reports everything to the owner.
     fn attach(&mut self, now: Time, running: Vec<Running>, ends: Vec<End>) {
         let Some(worker) = &mut self.worker else { return };
-        worker.forwarded = ends.iter().map(|end| end.number).max().unwrap_or(0).max(worker.seen);
+        worker.forwarded =
+            ends.iter().map(|end| end.number).max().unwrap_or(0).max(worker.acknowledged);
         let mut runs = BTreeMap::new();
         for row in &running {
             let old = self.runs.remove(&row.task).filter(|run| run.run == row.run);
@@ -89,27 +97,27 @@
                 must_stop: false,
                 stop_sent: None,
                 percent: row.percent,
-                moved: now,
+                progress_at: now,
                 saved: row.saved.clone(),
-                saved_sent: true,
-                paced: old.map_or(u32::MAX, |run| run.paced),
-                stall_sent: false,
+                checkpoint_sent: true,
+                pace: old.map_or(u32::MAX, |run| run.pace),
+                stall_reported: false,
             };
             runs.insert(row.task, run);
         }
         self.runs = runs;
         let info = worker.info.clone();
-        if let Some(link) = &mut self.link {
-            link.is_attached = true;
+        if let Some(session) = &mut self.session {
+            session.is_attached = true;
         }
         self.log("attached", format!("worker={} running={}", info.id, running.len()));
-        self.actions.push(Action::Send(Up::Attach { worker: Some(info), running, ends }));
-        self.next_look = now + UNSEEN_PAUSE;
+        self.actions.push(Action::Send(AgentMessage::Attach { worker: Some(info), running, ends }));
+        self.next_list = now + UNACKED_DELAY;
     }
 
     /// Brings the local table in line with a listing.
-    fn compare(&mut self, now: Time, token: Token, running: &[Running]) {
-        let issued = now.saturating_sub(LONG_WAIT * 2);
+    fn reconcile(&mut self, now: Time, token: Token, running: &[Running]) {
+        let answered_before = now.saturating_sub(MAX_LIST_WAIT * 2);
         let mut missing = Vec::new();
         let rows: BTreeMap<TaskId, &Running> = running.iter().map(|row| (row.task, row)).collect();
         let mut stalled = Vec::new();
@@ -121,23 +129,23 @@
                     }
                     if row.percent != run.percent {
                         run.percent = row.percent;
-                        run.moved = now;
+                        run.progress_at = now;
                     }
                     if row.saved != run.saved {
                         run.saved = row.saved.clone();
-                        run.saved_sent = false;
+                        run.checkpoint_sent = false;
                     }
-                    let is_working = if run.traits.lasting {
+                    let is_working = if run.traits.long_running {
                         row.percent >= 100
                     } else {
-                        run.traits.fills && run.paced < STALL_PACE
+                        run.traits.best_effort && run.pace < MIN_STALL_PACE
                     };
                     if is_working || run.state != RunState::Running {
-                        run.moved = now;
+                        run.progress_at = now;
                     }
-                    let is_stalled = now >= run.moved + STALL_AFTER && !run.must_stop;
-                    if is_stalled && !run.stall_sent {
-                        run.stall_sent = true;
+                    let is_stalled = now >= run.progress_at + STALL_TIMEOUT && !run.must_stop;
+                    if is_stalled && !run.stall_reported {
+                        run.stall_reported = true;
                         stalled.push((*task, run.run));
                     }
                 }
@@ -145,7 +153,7 @@
                     RunState::Doubtful(needed) if token >= needed => {
                         missing.push((*task, run.run, "lost order"));
                     }
-                    RunState::Running if run.since < issued => {
+                    RunState::Running if run.since < answered_before => {
                         missing.push((*task, run.run, "not listed"));
                     }
                     _ => {}
@@ -153,7 +161,7 @@
             }
         }
         for (task, run) in stalled {
-            self.actions.push(Action::Send(Up::Stalled { task, run }));
+            self.actions.push(Action::Send(AgentMessage::Stalled { task, run }));
         }
         for (task, run, reason) in missing {
             self.not_started(task, run, reason);
--- a/crates/core/src/flow/owner.rs
+++ b/crates/core/src/flow/owner.rs
@@ -5,18 +5,19 @@
 
 mod commit;
 mod ends;
-mod room;
+mod reservations;
 mod workers;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
 
+use super::interference::{Baseline, Interference, InterferenceRow};
 use super::message::{
-    session_token, Down, EndNumber, Image, Pressure, Start, TaskTraits, Token, Up, WorkerInfo,
+    session_token, AgentMessage, EndNumber, Image, OwnerMessage, Pressure, Start, TaskTraits,
+    Token, WorkerInfo,
 };
 use super::model::{JobNumber, JobSpec, Run, Step, TaskId, WallMs};
-use super::press::{Base, Press, PressRow};
 use super::progress::{Phase, Progress};
 use super::step::{Attempt, StepState};
 use crate::hash;
@@ -31,15 +32,15 @@
 /// Runs that one epoch may number; the next epoch begins above them.
 const RUNS_PER_EPOCH: Run = 1_000;
 /// Time that changed records may wait for others, so that they share a write.
-const COMMIT_LINGER: Duration = Duration::from_millis(25);
+const COMMIT_DELAY: Duration = Duration::from_millis(25);
 /// Keys that one write may name; the store's limit is 32, two are the fence's.
-const COMMIT_KEYS: usize = 30;
+const MAX_COMMIT_KEYS: usize = 30;
 /// Time between two requests of an agent for permission beyond which it may have missed starts.
-const PING_GAP: Duration = Duration::from_millis(1_500);
+const MAX_PING_GAP: Duration = Duration::from_millis(1_500);
 /// Time between two stored copies of the learned press; they go with other records.
-const PRESS_INTERVAL: Duration = Duration::from_secs(5);
+const INTERFERENCE_INTERVAL: Duration = Duration::from_secs(5);
 /// Longest pause between two looks at timers.
-const IDLE_POLL: Duration = Duration::from_millis(500);
+const MAX_POLL_DELAY: Duration = Duration::from_millis(500);
 
 /// What the owner is told at its start.
 #[derive(Debug, Clone)]
@@ -56,7 +57,7 @@
 /// What the shell does for the owner.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
-    Send { slot: Slot, session: Session, message: Down },
+    Send { slot: Slot, session: Session, message: OwnerMessage },
     Log(Decision),
 }
 
@@ -91,7 +92,7 @@
     /// Records of jobs that ended long ago.
     pub expired: Vec<JobNumber>,
     /// What was learned of the images' press.
-    pub press: Option<Vec<PressRow>>,
+    pub interference: Option<Vec<InterferenceRow>>,
 }
 
 /// A job in memory.
@@ -126,20 +127,20 @@
     pub worker: Option<WorkerInfo>,
     pub used: Resources,
     /// Reserved for lasting tasks.
-    pub lasting: Resources,
+    pub long_running: Resources,
     pub pressure: Pressure,
     /// Processors of fill tasks, which reserve none, by image, in thousandths of a core.
-    pub(super) filled: BTreeMap<Image, u64>,
+    pub(super) best_effort_cpu: BTreeMap<Image, u64>,
     /// Serving tasks by image, and their tail without fill tasks.
-    pub(super) serving: BTreeMap<Image, (u32, Base)>,
+    pub(super) serving: BTreeMap<Image, (u32, Baseline)>,
     pub tasks: BTreeMap<TaskId, Run>,
     pub last_end: EndNumber,
-    pub(super) unseen: VecDeque<(EndNumber, JobNumber, u64)>,
-    pub(super) streak: u32,
-    pub(super) rests_until: Time,
-    pub(super) leaves_at: Option<Time>,
+    pub(super) pending_acks: VecDeque<(EndNumber, JobNumber, u64)>,
+    pub(super) failure_streak: u32,
+    pub(super) backoff_until: Time,
+    pub(super) drain_deadline: Option<Time>,
     /// Runs that are to be stopped and belong to no open task.
-    pub(super) foreign: BTreeSet<(TaskId, Run)>,
+    pub(super) stale_runs: BTreeSet<(TaskId, Run)>,
     /// In the stored roster, so that a successor will wait for this node.
     pub(super) is_listed: bool,
 }
@@ -157,9 +158,9 @@
     next_session: Session,
     valid_until: Time,
     /// Until when unheard agents of a predecessor may go on.
-    pub(super) quiet_at: Option<Time>,
+    pub(super) takeover_deadline: Option<Time>,
     /// Nodes of the predecessor that have not been heard.
-    pub(super) unheard: BTreeSet<String>,
+    pub(super) unreported: BTreeSet<String>,
     effects: Vec<Effect>,
     dirty: BTreeSet<JobNumber>,
     dirty_since: Option<Time>,
@@ -167,14 +168,14 @@
     roster_changed: bool,
     in_flight: Option<InFlight>,
     expired: Vec<JobNumber>,
-    pub(super) must_place: bool,
-    next_expiry: Time,
-    last_sweep: Time,
-    pub(super) press: Press,
+    pub(super) placement_due: bool,
+    next_cleanup: Time,
+    last_timer_check: Time,
+    pub(super) interference: Interference,
     /// Workers whose free room is kept for lasting tasks, during one round of placement.
-    pub(super) held: BTreeSet<Slot>,
+    pub(super) held_nodes: BTreeSet<Slot>,
     /// When the learned press is stored again.
-    next_press: Time,
+    next_interference: Time,
 }
 
 impl Owner {
@@ -187,8 +188,8 @@
             by_name: HashMap::new(),
             next_session: 0,
             valid_until: now,
-            quiet_at: None,
-            unheard: BTreeSet::new(),
+            takeover_deadline: None,
+            unreported: BTreeSet::new(),
             effects: Vec::new(),
             dirty: BTreeSet::new(),
             dirty_since: None,
@@ -196,19 +197,19 @@
             roster_changed: false,
             in_flight: None,
             expired: Vec::new(),
-            must_place: false,
-            next_expiry: now,
-            last_sweep: now,
-            press: Press::default(),
-            held: BTreeSet::new(),
-            next_press: now + PRESS_INTERVAL,
+            placement_due: false,
+            next_cleanup: now,
+            last_timer_check: now,
+            interference: Interference::default(),
+            held_nodes: BTreeSet::new(),
+            next_interference: now + INTERFERENCE_INTERVAL,
         }
     }
 
     /// Until when this process owns the work, by its own clock.
-    pub fn set_valid(&mut self, until: Time) {
+    pub fn set_valid_until(&mut self, until: Time) {
         self.valid_until = until;
-        self.must_place = true;
+        self.placement_due = true;
     }
 
     /// Tells whether starts and permissions may be given.
@@ -230,7 +231,7 @@
         self.effects.push(Effect::Log(Decision { event, job, detail }));
     }
 
-    pub(super) fn send(&mut self, slot: Slot, message: Down) {
+    pub(super) fn send(&mut self, slot: Slot, message: OwnerMessage) {
         if let Some(session) = self.nodes[slot].session {
             self.effects.push(Effect::Send { slot, session, message });
         }
@@ -280,7 +281,7 @@
             job.restore(&progress);
         }
         self.jobs.insert(number, job);
-        self.must_place = true;
+        self.placement_due = true;
     }
 
     /// Notes a stored cancel.
@@ -288,15 +289,15 @@
         let Some(job) = self.jobs.get_mut(&number) else { return };
         job.has_cancel = true;
         if job.phase.is_final() {
-            self.touch(number, true);
+            self.mark_dirty(number, true);
             return;
         }
         self.log("job_cancelled", Some(number), String::new());
-        self.finish(number, Phase::Cancelled);
+        self.finish_job(number, Phase::Cancelled);
     }
 
     /// Ends a job: nothing more starts, and what runs is stopped.
-    pub(super) fn finish(&mut self, number: JobNumber, phase: Phase) {
+    pub(super) fn finish_job(&mut self, number: JobNumber, phase: Phase) {
         let Some(job) = self.jobs.get_mut(&number) else { return };
         job.phase = phase;
         let mut stops = Vec::new();
@@ -318,13 +319,13 @@
             }
         }
         for (slot, task, run) in stops {
-            self.send(slot, Down::Stop { task, run });
+            self.send(slot, OwnerMessage::Stop { task, run });
         }
-        self.touch(number, true);
+        self.mark_dirty(number, true);
     }
 
     /// Marks a job's record as changed.
-    pub(super) fn touch(&mut self, number: JobNumber, is_urgent: bool) {
+    pub(super) fn mark_dirty(&mut self, number: JobNumber, is_urgent: bool) {
         if let Some(job) = self.jobs.get_mut(&number) {
             job.version += 1;
             self.dirty.insert(number);
@@ -361,40 +362,49 @@
     }
 
     /// Applies a message of an agent.
-    pub fn receive(&mut self, now: Time, slot: Slot, session: Session, message: Up) {
+    pub fn receive(&mut self, now: Time, slot: Slot, session: Session, message: AgentMessage) {
         if self.nodes[slot].session != Some(session) {
             return;
         }
         match message {
-            Up::Attach { worker, running, ends } => self.attach(now, slot, worker, running, ends),
-            Up::Ends { worker, ends } => self.ends(now, slot, &worker, ends),
-            Up::NotStarted { task, run, reason } => self.not_started(slot, task, run, &reason),
-            Up::Draining { worker, remaining } => self.draining(now, slot, &worker, remaining),
-            Up::Gone { worker } => {
+            AgentMessage::Attach { worker, running, ends } => {
+                self.attach(now, slot, worker, running, ends)
+            }
+            AgentMessage::Ends { worker, ends } => self.ends(now, slot, &worker, ends),
+            AgentMessage::NotStarted { task, run, reason } => {
+                self.not_started(slot, task, run, &reason)
+            }
+            AgentMessage::Draining { worker, remaining } => {
+                self.draining(now, slot, &worker, remaining)
+            }
+            AgentMessage::Gone { worker } => {
                 if self.nodes[slot].worker.as_ref().is_some_and(|known| known.id == worker) {
                     self.lose_worker(slot, "gone");
                 }
             }
-            Up::Saved { rows } => {
+            AgentMessage::Saved { rows } => {
                 for (task, run, saved) in rows {
-                    self.save(task, run, saved);
+                    self.save_checkpoint(task, run, saved);
                 }
             }
-            Up::Stalled { task, run } => self.stalled(now, slot, task, run),
-            Up::Ping { sent, pressure, samples, alone } => {
-                self.must_place |= pressure != self.nodes[slot].pressure;
+            AgentMessage::Stalled { task, run } => self.stalled(now, slot, task, run),
+            AgentMessage::Ping { sent, pressure, samples, baselines } => {
+                self.placement_due |= pressure != self.nodes[slot].pressure;
                 self.nodes[slot].pressure = pressure;
-                self.learn_press(slot, &samples, &alone);
+                self.learn_interference(slot, &samples, &baselines);
                 let permission = match self.is_valid(now) {
                     true => {
-                        self.must_place |= now > self.nodes[slot].last_pong + PING_GAP;
+                        self.placement_due |= now > self.nodes[slot].last_pong + MAX_PING_GAP;
                         self.nodes[slot].last_pong = now;
                         self.settings.permission
                     }
                     false => Duration::ZERO,
                 };
                 let weights = self.weights(slot);
-                self.send(slot, Down::Pong { sent, permission, entries: Vec::new(), weights });
+                self.send(
+                    slot,
+                    OwnerMessage::Pong { sent, permission, entries: Vec::new(), weights },
+                );
             }
         }
     }
@@ -407,10 +417,10 @@
 
     /// Performs what is due. `wall` is the time of day.
     pub fn poll(&mut self, now: Time, wall: WallMs) {
-        self.sweep(now);
+        self.check_timers(now);
         self.release_due(now, wall);
-        if self.must_place && self.is_valid(now) {
-            self.must_place = false;
+        if self.placement_due && self.is_valid(now) {
+            self.placement_due = false;
             self.place(now);
         }
         if !self.dirty.is_empty() {
@@ -422,9 +432,9 @@
     pub fn next_poll(&self, now: Time) -> Duration {
         match self.dirty_since {
             Some(since) if self.in_flight.is_none() => {
-                (since + COMMIT_LINGER).saturating_sub(now).min(IDLE_POLL)
+                (since + COMMIT_DELAY).saturating_sub(now).min(MAX_POLL_DELAY)
             }
-            _ => IDLE_POLL,
+            _ => MAX_POLL_DELAY,
         }
     }
 
@@ -445,7 +455,7 @@
         if let Some(job) = self.jobs.get_mut(&task.job) {
             job.phase = Phase::Running;
         }
-        let weights = self.weights_of(slot, step);
+        let weights = self.step_weights(slot, step);
         let start = Start {
             task,
             run,
@@ -455,7 +465,7 @@
             traits: traits(step),
             weights,
         };
-        self.send(slot, Down::Start(Box::new(start)));
+        self.send(slot, OwnerMessage::Start(Box::new(start)));
     }
 }
 
@@ -467,8 +477,8 @@
 /// Returns what an agent needs to know of a step's tasks.
 pub(super) fn traits(step: &Step) -> TaskTraits {
     TaskTraits {
-        lasting: step.lasting,
-        fills: step.fills,
+        long_running: step.long_running,
+        best_effort: step.best_effort,
         target_ms: step.target_ms,
         cpu_milli: step.need.cpu_milli,
         image: image_number(step),
@@ -484,17 +494,17 @@
             last_pong: now,
             worker: None,
             used: Resources::default(),
-            lasting: Resources::default(),
+            long_running: Resources::default(),
             pressure: Pressure::default(),
-            filled: BTreeMap::new(),
+            best_effort_cpu: BTreeMap::new(),
             serving: BTreeMap::new(),
             tasks: BTreeMap::new(),
             last_end: 0,
-            unseen: VecDeque::new(),
-            streak: 0,
-            rests_until: Time::ZERO,
-            leaves_at: None,
-            foreign: BTreeSet::new(),
+            pending_acks: VecDeque::new(),
+            failure_streak: 0,
+            backoff_until: Time::ZERO,
+            drain_deadline: None,
+            stale_runs: BTreeSet::new(),
             is_listed: false,
         }
     }
--- a/crates/core/src/flow/owner/commit.rs
+++ b/crates/core/src/flow/owner/commit.rs
@@ -3,8 +3,8 @@
 
 use std::collections::BTreeSet;
 
-use super::{Commit, Node, Owner, Slot, COMMIT_KEYS, COMMIT_LINGER, PRESS_INTERVAL};
-use crate::flow::message::Down;
+use super::{Commit, Node, Owner, Slot, COMMIT_DELAY, INTERFERENCE_INTERVAL, MAX_COMMIT_KEYS};
+use crate::flow::message::OwnerMessage;
 use crate::time::Time;
 
 impl Owner {
@@ -12,30 +12,30 @@
     pub fn take_commit(&mut self, now: Time) -> Option<Commit> {
         let is_due = self.is_urgent
             || self.roster_changed
-            || self.dirty_since.is_some_and(|since| now >= since + COMMIT_LINGER)
-            || self.dirty.len() >= COMMIT_KEYS;
+            || self.dirty_since.is_some_and(|since| now >= since + COMMIT_DELAY)
+            || self.dirty.len() >= MAX_COMMIT_KEYS;
         if self.in_flight.is_some() || !is_due {
             return None;
         }
         let mut commit = Commit::default();
         let mut slots = Vec::new();
-        let mut room = COMMIT_KEYS;
+        let mut keys_left = MAX_COMMIT_KEYS;
         if self.roster_changed {
             self.roster_changed = false;
-            room -= 1;
+            keys_left -= 1;
             // Without a worker nothing runs, and the next one is listed before it is used.
             let is_member = |node: &Node| node.worker.is_some();
             slots = (0..self.nodes.len()).filter(|s| is_member(&self.nodes[*s])).collect();
             // A node that is left out has to be listed again before it is used again.
             self.nodes.iter_mut().for_each(|node| node.is_listed &= is_member(node));
-            let mut names: BTreeSet<String> = self.unheard.clone();
+            let mut names: BTreeSet<String> = self.unreported.clone();
             names.extend(slots.iter().map(|slot| self.nodes[*slot].name.clone()));
             commit.roster = Some(names.into_iter().collect());
         }
-        if now >= self.next_press {
-            self.next_press = now + PRESS_INTERVAL;
-            room -= 1;
-            commit.press = Some(self.press.rows()).filter(|rows| !rows.is_empty());
+        if now >= self.next_interference {
+            self.next_interference = now + INTERFERENCE_INTERVAL;
+            keys_left -= 1;
+            commit.interference = Some(self.interference.rows()).filter(|rows| !rows.is_empty());
         }
         let mut versions = Vec::new();
         while let Some(number) = self.dirty.first().copied() {
@@ -44,18 +44,18 @@
                 continue;
             };
             let record = job.record(number);
-            if record.keys() > room {
+            if record.keys() > keys_left {
                 break;
             }
-            room -= record.keys();
+            keys_left -= record.keys();
             versions.push((number, job.version));
             commit.records.push(record);
             self.dirty.remove(&number);
         }
-        while room > 0 {
+        while keys_left > 0 {
             let Some(number) = self.expired.pop() else { break };
             commit.expired.push(number);
-            room -= 1;
+            keys_left -= 1;
         }
         self.is_urgent = !self.dirty.is_empty();
         self.dirty_since = None;
@@ -76,7 +76,7 @@
         }
         for slot in slots {
             self.nodes[slot].is_listed = true;
-            self.must_place = true;
+            self.placement_due = true;
         }
         for slot in 0..self.nodes.len() {
             self.acknowledge(slot);
@@ -88,23 +88,23 @@
         !self.dirty.is_empty() || self.in_flight.is_some()
     }
 
-    pub(in crate::flow) fn change_roster(&mut self) {
+    pub(in crate::flow) fn mark_roster_changed(&mut self) {
         self.roster_changed = true;
     }
 
     /// Acknowledges the ends whose records are durable.
     pub(in crate::flow) fn acknowledge(&mut self, slot: Slot) {
         let mut last = None;
-        while let Some((number, job, version)) = self.nodes[slot].unseen.front().copied() {
+        while let Some((number, job, version)) = self.nodes[slot].pending_acks.front().copied() {
             if self.jobs.get(&job).is_some_and(|job| job.durable < version) {
                 break;
             }
-            self.nodes[slot].unseen.pop_front();
+            self.nodes[slot].pending_acks.pop_front();
             last = Some(number);
         }
         let worker = self.nodes[slot].worker.as_ref().map(|worker| worker.id.clone());
         if let (Some(number), Some(worker)) = (last, worker) {
-            self.send(slot, Down::Seen { worker, number });
+            self.send(slot, OwnerMessage::Seen { worker, number });
         }
     }
 }
--- a/crates/core/src/flow/owner/ends.rs
+++ b/crates/core/src/flow/owner/ends.rs
@@ -3,16 +3,16 @@
 use std::time::Duration;
 
 use super::{Owner, Slot};
-use crate::flow::message::{Down, End, EndKind};
+use crate::flow::message::{End, EndKind, OwnerMessage};
 use crate::flow::model::{JobNumber, Run, Step, TaskId};
 use crate::flow::progress::Phase;
 use crate::time::Time;
 
 /// First rest of a worker on which two jobs failed in a row; doubles with each further failure.
-const FIRST_REST: Duration = Duration::from_secs(1);
-const LONGEST_REST: Duration = Duration::from_secs(8);
+const MIN_BACKOFF: Duration = Duration::from_secs(1);
+const MAX_BACKOFF: Duration = Duration::from_secs(8);
 /// Rest of a worker on which a task stood still.
-const STALL_REST: Duration = Duration::from_secs(3);
+const STALL_BACKOFF: Duration = Duration::from_secs(3);
 
 impl Owner {
     pub(in crate::flow) fn ends(&mut self, now: Time, slot: Slot, worker: &str, ends: Vec<End>) {
@@ -24,9 +24,9 @@
                 continue;
             }
             self.nodes[slot].last_end = end.number;
-            self.end(now, slot, &end);
+            self.finish_run(now, slot, &end);
             let version = self.jobs.get(&end.task.job).map_or(0, |job| job.version);
-            self.nodes[slot].unseen.push_back((end.number, end.task.job, version));
+            self.nodes[slot].pending_acks.push_back((end.number, end.task.job, version));
         }
         if !self.dirty.is_empty() {
             self.dirty_since.get_or_insert(now);
@@ -34,25 +34,25 @@
         self.acknowledge(slot);
     }
 
-    pub(super) fn end(&mut self, now: Time, slot: Slot, end: &End) {
+    pub(super) fn finish_run(&mut self, now: Time, slot: Slot, end: &End) {
         let task = end.task;
-        self.save(task, end.run, end.saved.clone());
-        self.must_place |= self.nodes[slot].foreign.remove(&(task, end.run));
+        self.save_checkpoint(task, end.run, end.saved.clone());
+        self.placement_due |= self.nodes[slot].stale_runs.remove(&(task, end.run));
         let was_current = self.drop_run(&task, end.run).is_some();
         let Some((spec, state)) = self.step_mut(&task) else { return };
         let spec = spec.clone();
         let step = &spec.steps[usize::from(task.step)];
         match end.kind {
-            EndKind::Done if !step.lasting => {
-                self.nodes[slot].streak = 0;
+            EndKind::Done if !step.long_running => {
+                self.nodes[slot].failure_streak = 0;
                 self.complete(now, &task, step);
             }
-            EndKind::Failed if !step.lasting && !state.done.contains(task.index) => {
+            EndKind::Failed if !step.long_running && !state.done.contains(task.index) => {
                 self.failed(now, slot, end);
             }
             EndKind::Failed => {
                 state.avoid.insert(task.index, slot);
-                self.note_failure(now, slot, task.job);
+                self.record_failure(now, slot, task.job);
             }
             _ => {
                 if step.gang {
@@ -80,7 +80,7 @@
             }
         }
         for (slot, other, run) in stops {
-            self.send(slot, Down::Stop { task: other, run });
+            self.send(slot, OwnerMessage::Stop { task: other, run });
         }
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         job.work = job.work.saturating_sub(step.need.cpu_milli * step.estimate_ms);
@@ -92,14 +92,14 @@
             job.phase = Phase::Completed;
             job.ended = Some(now);
         }
-        self.touch(task.job, is_complete);
+        self.mark_dirty(task.job, is_complete);
         if is_complete {
             let took = now.saturating_sub(self.jobs[&task.job].since).as_millis();
             let objective = self.jobs[&task.job].objective;
             let detail = format!("took_ms={took} in_time={}", now <= objective);
             self.log("job_completed", Some(task.job), detail);
         }
-        self.must_place = true;
+        self.placement_due = true;
     }
 
     pub(super) fn failed(&mut self, now: Time, slot: Slot, end: &End) {
@@ -117,33 +117,38 @@
         let detail = format!("task={task} run={} failures={count} limit={limit}", end.run);
         state.avoid.insert(task.index, slot);
         self.log("task_failed", Some(task.job), format!("{detail} node={}", self.nodes[slot].name));
-        self.note_failure(now, slot, task.job);
+        self.record_failure(now, slot, task.job);
         if is_gang {
             self.stop_gang(&task);
         }
         match self.jobs.get(&task.job).map(|job| job.phase.is_final()) {
             Some(false) if is_last => {
                 self.log("job_failed", Some(task.job), detail);
-                self.finish(task.job, Phase::Failed);
+                self.finish_job(task.job, Phase::Failed);
             }
-            _ => self.touch(task.job, false),
+            _ => self.mark_dirty(task.job, false),
         }
     }
 
     /// Judges a worker by failures of different jobs: one that fails everywhere is not its fault.
-    pub(super) fn note_failure(&mut self, now: Time, slot: Slot, number: JobNumber) {
+    pub(super) fn record_failure(&mut self, now: Time, slot: Slot, number: JobNumber) {
         let Some(job) = self.jobs.get_mut(&number) else { return };
         let is_new = job.failed_on.insert(slot);
         if job.failed_on.len() > 1 || !is_new {
             return;
         }
         let node = &mut self.nodes[slot];
-        node.streak += 1;
-        if node.streak >= 2 {
-            let rest = (FIRST_REST * 2u32.pow((node.streak - 2).min(3))).min(LONGEST_REST);
-            node.rests_until = now + rest;
-            let detail =
-                format!("node={} streak={} rest_ms={}", node.name, node.streak, rest.as_millis());
+        node.failure_streak += 1;
+        if node.failure_streak >= 2 {
+            let backoff =
+                (MIN_BACKOFF * 2u32.pow((node.failure_streak - 2).min(3))).min(MAX_BACKOFF);
+            node.backoff_until = now + backoff;
+            let detail = format!(
+                "node={} streak={} rest_ms={}",
+                node.name,
+                node.failure_streak,
+                backoff.as_millis()
+            );
             self.log("worker_rests", Some(number), detail);
         }
     }
@@ -159,11 +164,11 @@
             }
         }
         for (slot, other, run) in stops {
-            self.send(slot, Down::Stop { task: other, run });
+            self.send(slot, OwnerMessage::Stop { task: other, run });
         }
     }
 
-    pub(super) fn save(&mut self, task: TaskId, run: Run, saved: String) {
+    pub(super) fn save_checkpoint(&mut self, task: TaskId, run: Run, saved: String) {
         if saved.is_empty() {
             return;
         }
@@ -179,7 +184,7 @@
         let detail =
             format!("task={task} run={run} node={} reason={reason}", self.nodes[slot].name);
         self.log("start_rejected", Some(task.job), detail);
-        self.must_place |= self.nodes[slot].foreign.remove(&(task, run));
+        self.placement_due |= self.nodes[slot].stale_runs.remove(&(task, run));
         if self.drop_run(&task, run).is_some() {
             if let Some((_, state)) = self.step_mut(&task) {
                 state.avoid.insert(task.index, slot);
@@ -195,9 +200,9 @@
         }
         attempt.is_stopping = true;
         state.avoid.insert(task.index, slot);
-        self.nodes[slot].rests_until = self.nodes[slot].rests_until.max(now + STALL_REST);
+        self.nodes[slot].backoff_until = self.nodes[slot].backoff_until.max(now + STALL_BACKOFF);
         let detail = format!("task={task} run={run} node={}", self.nodes[slot].name);
         self.log("task_stalled", Some(task.job), detail);
-        self.send(slot, Down::Stop { task, run });
+        self.send(slot, OwnerMessage::Stop { task, run });
     }
 }
--- a/crates/core/src/flow/owner/room.rs
+++ b/crates/core/src/flow/owner/reservations.rs
@@ -9,12 +9,12 @@
         let node = &mut self.nodes[slot];
         if node.tasks.remove(task).is_some() {
             node.used = node.used.minus(&step.reserved());
-            if step.lasting {
-                node.lasting = node.lasting.minus(&step.need);
+            if step.long_running {
+                node.long_running = node.long_running.minus(&step.need);
             }
-            node.tally(step, |known, change| known - change);
+            node.update_totals(step, |known, change| known - change);
         }
-        self.must_place = true;
+        self.placement_due = true;
     }
 
     /// Takes a reservation for a task.
@@ -22,10 +22,10 @@
         let node = &mut self.nodes[slot];
         if node.tasks.insert(task, run).is_none() {
             node.used = node.used.plus(&step.reserved());
-            if step.lasting {
-                node.lasting = node.lasting.plus(&step.need);
+            if step.long_running {
+                node.long_running = node.long_running.plus(&step.need);
             }
-            node.tally(step, |known, change| known + change);
+            node.update_totals(step, |known, change| known + change);
         }
     }
 
@@ -48,11 +48,11 @@
 
 impl Node {
     /// Changes the sums by image by one task of `step`.
-    fn tally(&mut self, step: &Step, change: impl Fn(u64, u64) -> u64) {
-        if step.fills {
-            let cpu = self.filled.entry(image_number(step)).or_default();
+    fn update_totals(&mut self, step: &Step, change: impl Fn(u64, u64) -> u64) {
+        if step.best_effort {
+            let cpu = self.best_effort_cpu.entry(image_number(step)).or_default();
             *cpu = change(*cpu, step.need.cpu_milli);
-            self.filled.retain(|_, cpu| *cpu > 0);
+            self.best_effort_cpu.retain(|_, cpu| *cpu > 0);
         }
         if step.target_ms > 0 {
             let (count, _) = self.serving.entry(image_number(step)).or_default();
--- a/crates/core/src/flow/owner/workers.rs
+++ b/crates/core/src/flow/owner/workers.rs
@@ -2,19 +2,19 @@
 
 use std::time::Duration;
 
-use super::{Job, Node, Owner, Slot, COMMIT_KEYS};
-use crate::flow::message::{Down, Pressure};
+use super::{Job, Node, Owner, Slot, MAX_COMMIT_KEYS};
+use crate::flow::message::{OwnerMessage, Pressure};
 use crate::flow::model::{JobNumber, Run, Step, TaskId};
 use crate::resources::Resources;
 use crate::time::Time;
 
 /// Addition to the end of a permission before its worker is taken to have stopped everything:
 /// covers rounding of lease times on the way to the worker.
-const LAPSE_MARGIN: Duration = Duration::from_millis(200);
+const PERMISSION_MARGIN: Duration = Duration::from_millis(200);
 /// Time before a draining worker leaves at which tasks that save are moved.
-const MOVE_LEAD: Duration = Duration::from_millis(500);
+const CHECKPOINT_LEAD: Duration = Duration::from_millis(500);
 /// Time that a draining worker is taken to have when it does not say.
-const DRAIN_DEFAULT: Duration = Duration::from_secs(2);
+const DEFAULT_DRAIN_TIME: Duration = Duration::from_secs(2);
 
 impl Owner {
     pub(in crate::flow) fn draining(
@@ -26,25 +26,25 @@
     ) {
         let node = &mut self.nodes[slot];
         let Some(known) = node.worker.as_mut().filter(|known| known.id == worker) else { return };
-        if known.draining && node.leaves_at.is_some() {
+        if known.draining && node.drain_deadline.is_some() {
             return;
         }
         known.draining = true;
-        node.leaves_at = Some(now + remaining.unwrap_or(DRAIN_DEFAULT));
+        node.drain_deadline = Some(now + remaining.unwrap_or(DEFAULT_DRAIN_TIME));
         let detail = format!("node={} worker={worker} running={}", node.name, node.tasks.len());
         self.log("worker_drains", None, detail);
-        self.move_tasks(slot, |step| step.lasting);
+        self.move_tasks(slot, |step| step.long_running);
     }
 
     /// Stops those tasks of a leaving worker that `pick` names, so that they go on elsewhere.
-    pub(super) fn move_tasks(&mut self, slot: Slot, pick: impl Fn(&Step) -> bool) {
+    pub(super) fn move_tasks(&mut self, slot: Slot, selects: impl Fn(&Step) -> bool) {
         for (task, run) in self.nodes[slot].tasks.clone() {
             let Some((spec, state)) = self.step_mut(&task) else { continue };
-            let is_picked = pick(&spec.steps[usize::from(task.step)]);
+            let is_picked = selects(&spec.steps[usize::from(task.step)]);
             match state.running.get_mut(&task.index) {
                 Some(attempt) if is_picked && attempt.run == run && !attempt.is_stopping => {
                     attempt.is_stopping = true;
-                    self.send(slot, Down::Stop { task, run });
+                    self.send(slot, OwnerMessage::Stop { task, run });
                 }
                 _ => {}
             }
@@ -65,40 +65,40 @@
         node.worker = None;
         node.tasks.clear();
         node.used = Resources::default();
-        node.lasting = Resources::default();
+        node.long_running = Resources::default();
         node.pressure = Pressure::default();
-        node.filled.clear();
+        node.best_effort_cpu.clear();
         node.serving.clear();
         node.last_end = 0;
-        node.unseen.clear();
-        node.leaves_at = None;
-        node.foreign.clear();
-        node.streak = 0;
-        node.rests_until = Time::ZERO;
-        self.must_place = true;
-        self.change_roster();
+        node.pending_acks.clear();
+        node.drain_deadline = None;
+        node.stale_runs.clear();
+        node.failure_streak = 0;
+        node.backoff_until = Time::ZERO;
+        self.placement_due = true;
+        self.mark_roster_changed();
     }
 
-    pub(super) fn sweep(&mut self, now: Time) {
-        let permission = self.settings.permission + LAPSE_MARGIN;
+    pub(super) fn check_timers(&mut self, now: Time) {
+        let permission = self.settings.permission + PERMISSION_MARGIN;
         for slot in 0..self.nodes.len() {
             let node = &self.nodes[slot];
-            let is_lapsed = !node.is_attached && now >= node.last_pong + permission;
-            let leads = node.leaves_at.is_some_and(|at| now + MOVE_LEAD >= at);
+            let is_expired = !node.is_attached && now >= node.last_pong + permission;
+            let must_move = node.drain_deadline.is_some_and(|at| now + CHECKPOINT_LEAD >= at);
             match &node.worker {
-                Some(_) if is_lapsed => self.lose_worker(slot, "permission ran out"),
-                Some(worker) if worker.draining && leads => {
-                    self.nodes[slot].leaves_at = Some(Time::MAX);
-                    self.move_tasks(slot, |step| step.saves || step.lasting);
+                Some(_) if is_expired => self.lose_worker(slot, "permission ran out"),
+                Some(worker) if worker.draining && must_move => {
+                    self.nodes[slot].drain_deadline = Some(Time::MAX);
+                    self.move_tasks(slot, |step| step.has_checkpoints || step.long_running);
                 }
                 _ => {}
             }
         }
-        self.settle_inherited(now);
-        if now >= self.next_expiry {
-            self.next_expiry = now + Duration::from_secs(1);
+        self.finish_takeover(now);
+        if now >= self.next_cleanup {
+            self.next_cleanup = now + Duration::from_secs(1);
             // Steps become starved by the passing of time alone.
-            self.must_place = true;
+            self.placement_due = true;
             let line = self.load_line();
             self.log("load", None, line);
             let keep = self.settings.keep_ended;
@@ -110,13 +110,13 @@
             };
             let old: Vec<JobNumber> =
                 self.jobs.iter().filter(|(_, job)| is_old(job)).map(|(n, _)| *n).collect();
-            for number in old.into_iter().take(COMMIT_KEYS) {
+            for number in old.into_iter().take(MAX_COMMIT_KEYS) {
                 self.jobs.remove(&number);
                 self.expired.push(number);
             }
         }
-        let since = std::mem::replace(&mut self.last_sweep, now);
-        let has_rested = |node: &Node| node.rests_until > since && node.rests_until <= now;
-        self.must_place |= self.nodes.iter().any(has_rested);
+        let since = std::mem::replace(&mut self.last_timer_check, now);
+        let backoff_expired = |node: &Node| node.backoff_until > since && node.backoff_until <= now;
+        self.placement_due |= self.nodes.iter().any(backoff_expired);
     }
 }
--- a/crates/core/src/flow/place.rs
+++ b/crates/core/src/flow/place.rs
@@ -1,6 +1,6 @@
 //! Which waiting task starts next, and on which worker.
 
-mod fills;
+mod best_effort;
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -14,17 +14,17 @@
 use crate::time::Time;
 
 /// Late jobs still earn up to this many times their objective.
-const LATE_FACTOR: u32 = 3;
+const MAX_LATE_FACTOR: u32 = 3;
 /// Share of the estimated time left, in percent, that a job needs in any case: estimates are rough.
-const SURE_PERCENT: u64 = 60;
+const MIN_TIME_LEFT_PERCENT: u64 = 60;
 /// Age of an agent's permission up to which it gets starts: agents ask each second, and permissions
 /// last several times as long.
-const FRESH_PERMISSION: Duration = Duration::from_secs(3);
+const MAX_PERMISSION_AGE: Duration = Duration::from_secs(3);
 /// Time after which a step with nothing running begins with one task wherever there is room, paced
 /// or not. Callers take a job without any progress for lost.
-const STARVED: Duration = Duration::from_secs(2);
+const STARVATION_DELAY: Duration = Duration::from_secs(2);
 /// Steps looked at in one round, so that a long queue does not hold up the process.
-const STEPS_PER_ROUND: usize = 400;
+const MAX_STEPS_PER_ROUND: usize = 400;
 
 impl Job {
     /// Estimated duration of the longest chain of steps that are not done, in milliseconds. A step
@@ -35,7 +35,7 @@
             for (state, step) in steps.iter().zip(&self.spec.steps) {
                 let ready = step.after.iter().map(|after| ends[usize::from(*after)]).max();
                 let own = match state.waiting.is_empty() {
-                    _ if state.is_done(step) || step.lasting => 0,
+                    _ if state.is_done(step) || step.long_running => 0,
                     true => step.estimate_ms / 2,
                     false => step.estimate_ms,
                 };
@@ -82,7 +82,7 @@
                 let objective = job.objective.saturating_sub(job.since);
                 job.since = now;
                 job.objective = now + objective;
-                self.must_place = true;
+                self.placement_due = true;
             }
         }
     }
@@ -93,32 +93,32 @@
         candidates.sort_unstable();
         // Steps with the same demands as one that found no worker will not find one either.
         let mut blocked: Vec<(Resources, bool)> = Vec::new();
-        self.held.clear();
-        for candidate in candidates.into_iter().take(STEPS_PER_ROUND) {
+        self.held_nodes.clear();
+        for candidate in candidates.into_iter().take(MAX_STEPS_PER_ROUND) {
             let spec = self.jobs[&candidate.job].spec.clone();
             let step = &spec.steps[usize::from(candidate.step)];
-            let is_plain = step.requires.is_none() && step.per_worker == 0;
-            if is_plain && blocked.contains(&(step.need, step.fills)) {
+            let is_plain = step.required_label.is_none() && step.per_worker == 0;
+            if is_plain && blocked.contains(&(step.need, step.best_effort)) {
                 continue;
             }
             let is_placed = match step.gang {
                 true => self.place_gang(now, &candidate, &spec, step),
                 false => self.place_tasks(now, &candidate, &spec, step),
             };
-            if !is_placed && step.lasting {
-                self.held.extend(self.most_free(now, &candidate, &spec, step));
+            if !is_placed && step.long_running {
+                self.held_nodes.extend(self.roomiest_node(now, &candidate, &spec, step));
             }
             if !is_placed && is_plain {
-                blocked.push((step.need, step.fills));
+                blocked.push((step.need, step.best_effort));
             }
         }
     }
 
     fn candidates(&mut self, now: Time) -> Vec<Candidate> {
         let mut candidates = Vec::new();
-        let is_quiet = self.quiet_at.is_none();
+        let is_settled = self.takeover_deadline.is_none();
         for (number, job) in &mut self.jobs {
-            if job.phase.is_final() || (job.is_inherited && !is_quiet) {
+            if job.phase.is_final() || (job.is_inherited && !is_settled) {
                 continue;
             }
             let rank = rank(job, now);
@@ -134,7 +134,7 @@
                         steps[index].ready_since.get_or_insert(now);
                         candidates.push(Candidate {
                             // Each second away costs the users of a lasting task.
-                            rank: match step.lasting {
+                            rank: match step.long_running {
                                 true => Rank { lateness: 0, work: 0, ..rank },
                                 false => rank,
                             },
@@ -150,7 +150,7 @@
     }
 
     /// Returns the worker on which a lasting step will have room first, as shorter tasks end there.
-    fn most_free(
+    fn roomiest_node(
         &self,
         now: Time,
         candidate: &Candidate,
@@ -159,11 +159,11 @@
     ) -> Option<Slot> {
         let state = self.state(candidate);
         let suits = |(slot, node): &(Slot, &Node)| {
-            let same = state.per_worker.get(slot).copied().unwrap_or(0);
-            node.may_start(now, spec, step)
-                && node.holds_beside_lasting(&step.need)
-                && (step.per_worker == 0 || same < step.per_worker)
-                && !self.held.contains(slot)
+            let on_node = state.per_worker.get(slot).copied().unwrap_or(0);
+            node.accepts_starts(now, spec, step)
+                && node.fits_beside_long_running(&step.need)
+                && (step.per_worker == 0 || on_node < step.per_worker)
+                && !self.held_nodes.contains(slot)
         };
         let nodes = self.nodes.iter().enumerate().filter(suits);
         nodes.max_by_key(|(_, node)| node.free_cpu()).map(|(slot, _)| slot)
@@ -180,13 +180,13 @@
         let (job, occurrence) = (candidate.job, candidate.occurrence);
         let base = self.run_base();
         let waiting: Vec<u32> = self.state(candidate).waiting.iter().copied().collect();
-        let rack = if step.tight { self.tight_rack(now, candidate, spec, step) } else { None };
+        let rack = if step.same_rack { self.shared_rack(now, candidate, spec, step) } else { None };
         for index in waiting {
             let task = TaskId { job, occurrence, step: candidate.step, index };
             let avoid = self.state(candidate).avoid.get(&index).copied();
-            let rack = rack.as_deref().or(step.near.as_deref());
-            let extra = BTreeMap::new();
-            match self.choose(now, candidate, spec, step, avoid, rack, &extra) {
+            let rack = rack.as_deref().or(step.preferred_rack.as_deref());
+            let planned = BTreeMap::new();
+            match self.choose_node(now, candidate, spec, step, avoid, rack, &planned) {
                 Some(slot) => {
                     let run = self.state(candidate).next_run(index, base);
                     self.start(slot, task, run);
@@ -208,17 +208,18 @@
         if !self.state(candidate).running.is_empty() {
             return true;
         }
-        let rack = self.tight_rack(now, candidate, spec, step);
-        let rack = rack.as_deref().or(step.near.as_deref());
+        let rack = self.shared_rack(now, candidate, spec, step);
+        let rack = rack.as_deref().or(step.preferred_rack.as_deref());
         let waiting: Vec<u32> = self.state(candidate).waiting.iter().copied().collect();
-        let mut extra: BTreeMap<Slot, u32> = BTreeMap::new();
+        let mut planned: BTreeMap<Slot, u32> = BTreeMap::new();
         let mut slots = Vec::with_capacity(waiting.len());
         for index in &waiting {
             let avoid = self.state(candidate).avoid.get(index).copied();
-            let Some(slot) = self.choose(now, candidate, spec, step, avoid, rack, &extra) else {
+            let Some(slot) = self.choose_node(now, candidate, spec, step, avoid, rack, &planned)
+            else {
                 return false;
             };
-            *extra.entry(slot).or_default() += 1;
+            *planned.entry(slot).or_default() += 1;
             slots.push(slot);
         }
         let base = self.run_base();
@@ -232,18 +233,18 @@
     }
 
     /// Returns the rack on which a step whose tasks must be close has most room.
-    fn tight_rack(
+    fn shared_rack(
         &self,
         now: Time,
         candidate: &Candidate,
         spec: &Arc<JobSpec>,
         step: &Step,
     ) -> Option<String> {
-        if !step.tight {
+        if !step.same_rack {
             return None;
         }
         let mut fits: BTreeMap<&str, u64> = BTreeMap::new();
-        for node in self.nodes.iter().filter(|node| node.may_start(now, spec, step)) {
+        for node in self.nodes.iter().filter(|node| node.accepts_starts(now, spec, step)) {
             let rack = node.rack()?;
             let count = (node.free_cpu() / step.need.cpu_milli.max(1)).min(u64::from(step.count));
             *fits.entry(rack).or_default() += count;
@@ -256,7 +257,7 @@
     }
 
     #[allow(clippy::too_many_arguments)]
-    fn choose(
+    fn choose_node(
         &self,
         now: Time,
         candidate: &Candidate,
@@ -264,34 +265,36 @@
         step: &Step,
         avoid: Option<Slot>,
         rack: Option<&str>,
-        extra: &BTreeMap<Slot, u32>,
+        planned: &BTreeMap<Slot, u32>,
     ) -> Option<Slot> {
         let state = self.state(candidate);
         let is_starved = state.running.is_empty()
-            && state.ready_since.is_some_and(|since| now >= since + STARVED);
+            && state.ready_since.is_some_and(|since| now >= since + STARVATION_DELAY);
         let mut best: Option<(Score, Slot)> = None;
         for (slot, node) in self.nodes.iter().enumerate() {
-            let here = extra.get(&slot).copied().unwrap_or(0);
-            let same = state.per_worker.get(&slot).copied().unwrap_or(0) + here;
-            if !node.may_start(now, spec, step)
-                || !node.has_room(step, u64::from(here))
-                || (self.held.contains(&slot) && !step.lasting && !step.fills)
-                || (step.fills && !is_starved && self.is_pressed(node, step, u64::from(here)))
-                || (step.per_worker > 0 && same >= step.per_worker)
+            let planned_here = planned.get(&slot).copied().unwrap_or(0);
+            let on_node = state.per_worker.get(&slot).copied().unwrap_or(0) + planned_here;
+            if !node.accepts_starts(now, spec, step)
+                || !node.has_capacity(step, u64::from(planned_here))
+                || (self.held_nodes.contains(&slot) && !step.long_running && !step.best_effort)
+                || (step.best_effort
+                    && !is_starved
+                    && self.would_interfere(node, step, u64::from(planned_here)))
+                || (step.per_worker > 0 && on_node >= step.per_worker)
             {
                 continue;
             }
-            let taken = u64::from(here) * step.need.cpu_milli;
+            let taken = u64::from(planned_here) * step.need.cpu_milli;
             let free = node.free_cpu().saturating_sub(taken);
             let score = (
                 avoid == Some(slot),
-                node.streak > 0,
+                node.failure_streak > 0,
                 rack.is_some_and(|rack| node.rack() != Some(rack)),
-                node.mixture(step),
-                Reverse(if step.lasting { node.lasting.cpu_milli } else { 0 }),
-                match (step.lasting, step.fills) {
+                node.other_serving_images(step),
+                Reverse(if step.long_running { node.long_running.cpu_milli } else { 0 }),
+                match (step.long_running, step.best_effort) {
                     (true, _) => free,
-                    (false, true) => self.fill_cost(node, step, taken),
+                    (false, true) => self.best_effort_cost(node, step, taken),
                     (false, false) => u64::MAX / 4 - free,
                 },
             );
@@ -309,10 +312,10 @@
 
 fn rank(job: &Job, now: Time) -> Rank {
     let objective = job.objective.saturating_sub(job.since);
-    let left = Duration::from_millis(job.chain_left_ms() * SURE_PERCENT / 100);
+    let left = Duration::from_millis(job.chain_left_ms() * MIN_TIME_LEFT_PERCENT / 100);
     let lateness = match now {
         _ if now + left <= job.objective => 0,
-        _ if now <= job.since + objective * LATE_FACTOR => 1,
+        _ if now <= job.since + objective * MAX_LATE_FACTOR => 1,
         _ => 2,
     };
     Rank { lateness, priority: job.spec.queue.priority, work: job.work, since: job.since }
@@ -326,46 +329,46 @@
 
     /// Processors that neither reservations nor fill tasks take.
     pub(super) fn free_cpu(&self) -> u64 {
-        self.room_cpu().saturating_sub(self.used.cpu_milli + self.filled_cpu())
+        self.cpu_capacity().saturating_sub(self.used.cpu_milli + self.total_best_effort_cpu())
     }
 
-    fn room_cpu(&self) -> u64 {
-        self.worker.as_ref().map_or(0, |worker| worker.room.cpu_milli)
+    fn cpu_capacity(&self) -> u64 {
+        self.worker.as_ref().map_or(0, |worker| worker.capacity.cpu_milli)
     }
 
     /// Tells whether `need` fits once all shorter tasks have ended.
-    fn holds_beside_lasting(&self, need: &Resources) -> bool {
-        let room = self.worker.as_ref().map(|worker| worker.room);
-        room.is_some_and(|room| self.lasting.plus(need).fits_in(&room))
+    fn fits_beside_long_running(&self, need: &Resources) -> bool {
+        let capacity = self.worker.as_ref().map(|worker| worker.capacity);
+        capacity.is_some_and(|capacity| self.long_running.plus(need).fits_in(&capacity))
     }
 
     /// Tells whether tasks of the step may start here at all.
-    pub(super) fn may_start(&self, now: Time, spec: &JobSpec, step: &Step) -> bool {
+    pub(super) fn accepts_starts(&self, now: Time, spec: &JobSpec, step: &Step) -> bool {
         let Some(worker) = &self.worker else { return false };
         self.is_attached
-            && now < self.last_pong + FRESH_PERMISSION
+            && now < self.last_pong + MAX_PERMISSION_AGE
             && self.is_listed
             && !worker.draining
-            && self.foreign.is_empty()
-            && now >= self.rests_until
+            && self.stale_runs.is_empty()
+            && now >= self.backoff_until
             && worker.service == spec.queue.service
-            && step.requires.as_ref().is_none_or(|label| worker.labels.contains(label))
+            && step.required_label.as_ref().is_none_or(|label| worker.labels.contains(label))
     }
 
-    fn has_room(&self, step: &Step, taken: u64) -> bool {
+    fn has_capacity(&self, step: &Step, taken: u64) -> bool {
         let Some(worker) = &self.worker else { return false };
         let reserved = step.reserved();
         let mut used = self.used.plus(&reserved);
         for _ in 0..taken {
             used = used.plus(&reserved);
         }
-        used.fits_in(&worker.room) && (!step.fills || self.fill_fits(step, taken))
+        used.fits_in(&worker.capacity) && (!step.best_effort || self.best_effort_fits(step, taken))
     }
 }
 
 impl Owner {
     /// Tells whether a job has begun.
-    pub(super) fn note_running(&mut self, number: JobNumber) {
+    pub(super) fn mark_running(&mut self, number: JobNumber) {
         if let Some(job) = self.jobs.get_mut(&number).filter(|job| job.phase == Phase::Queued) {
             job.phase = Phase::Running;
         }
--- a/crates/core/src/flow/recovery.rs
+++ b/crates/core/src/flow/recovery.rs
@@ -2,16 +2,16 @@
 
 use std::time::Duration;
 
-use super::message::{Down, End, Running, WorkerInfo};
+use super::interference::InterferenceRow;
+use super::message::{End, OwnerMessage, Running, WorkerInfo};
 use super::model::{JobNumber, JobSpec, TaskId};
 use super::owner::{traits, Owner, Slot};
-use super::press::PressRow;
 use super::progress::Progress;
 use super::step::Attempt;
 use crate::time::Time;
 
 /// Addition to the wait for agents that are not heard: covers rounding of lease times.
-const QUIET_MARGIN: Duration = Duration::from_millis(300);
+const TAKEOVER_MARGIN: Duration = Duration::from_millis(300);
 
 impl Owner {
     /// Takes over a stored job. Its tasks wait until every agent of `roster` has been heard.
@@ -42,26 +42,26 @@
 
     /// Names the agents that a predecessor may have given permission until now.
     pub fn set_predecessor(&mut self, now: Time, roster: Vec<String>) {
-        self.unheard = roster.into_iter().collect();
-        self.quiet_at = Some(now + self.settings.permission + QUIET_MARGIN);
-        self.change_roster();
+        self.unreported = roster.into_iter().collect();
+        self.takeover_deadline = Some(now + self.settings.permission + TAKEOVER_MARGIN);
+        self.mark_roster_changed();
     }
 
     /// Takes over what a predecessor has learned of the images' press.
-    pub fn inherit_press(&mut self, rows: &[PressRow]) {
-        self.press.restore(rows);
+    pub fn inherit_interference(&mut self, rows: &[InterferenceRow]) {
+        self.interference.restore(rows);
     }
 
     /// Ends the wait for agents of a predecessor once all were heard or their permission is over.
-    pub(super) fn settle_inherited(&mut self, now: Time) {
-        let Some(at) = self.quiet_at else { return };
-        if now >= at || self.unheard.is_empty() {
-            let detail = format!("unheard={}", self.unheard.len());
+    pub(super) fn finish_takeover(&mut self, now: Time) {
+        let Some(at) = self.takeover_deadline else { return };
+        if now >= at || self.unreported.is_empty() {
+            let detail = format!("unheard={}", self.unreported.len());
             self.log("takeover_settled", None, detail);
-            self.quiet_at = None;
-            self.unheard.clear();
-            self.must_place = true;
-            self.change_roster();
+            self.takeover_deadline = None;
+            self.unreported.clear();
+            self.placement_due = true;
+            self.mark_roster_changed();
         }
     }
 
@@ -79,13 +79,13 @@
             self.lose_worker(slot, "replaced");
         }
         let name = self.nodes[slot].name.clone();
-        self.unheard.remove(&name);
+        self.unreported.remove(&name);
         let node = &mut self.nodes[slot];
-        node.foreign.clear();
+        node.stale_runs.clear();
         node.is_attached = true;
         node.last_pong = now;
         if !node.is_listed {
-            self.change_roster();
+            self.mark_roster_changed();
         }
         let detail = format!(
             "node={name} worker={} running={} ends={}",
@@ -107,20 +107,20 @@
                     rows.push((run.task, traits(&spec.steps[usize::from(run.task.step)])));
                 }
             } else {
-                self.send(slot, Down::Stop { task: run.task, run: run.run });
+                self.send(slot, OwnerMessage::Stop { task: run.task, run: run.run });
             }
         }
         if !rows.is_empty() {
-            self.send(slot, Down::Traits { rows });
+            self.send(slot, OwnerMessage::Traits { rows });
         }
         if is_draining {
             if let Some(worker) = self.nodes[slot].worker.as_mut() {
                 worker.draining = false;
             }
-            self.nodes[slot].leaves_at = None;
+            self.nodes[slot].drain_deadline = None;
             self.draining(now, slot, &id, remaining);
         }
-        self.must_place = true;
+        self.placement_due = true;
     }
 
     /// Requeues what was ordered in an older session and is not on the worker.
@@ -144,7 +144,7 @@
         let task = listed.task;
         let is_over = self.jobs.get(&task.job).is_none_or(|job| job.phase.is_final());
         if is_over {
-            return self.hold_foreign(slot, listed);
+            return self.hold_for_stale_run(slot, listed);
         }
         let is_open = self.open_occurrence(task.job, task.occurrence);
         let Some((spec, state)) = self.step_mut(&task).filter(|_| is_open) else { return false };
@@ -153,8 +153,10 @@
             Some(attempt) if attempt.run == listed.run && attempt.slot == slot => {
                 return !attempt.is_stopping;
             }
-            Some(_) => return self.hold_foreign(slot, listed),
-            None if state.done.contains(task.index) => return self.hold_foreign(slot, listed),
+            Some(_) => return self.hold_for_stale_run(slot, listed),
+            None if state.done.contains(task.index) => {
+                return self.hold_for_stale_run(slot, listed)
+            }
             None => {}
         }
         if !listed.saved.is_empty() {
@@ -162,7 +164,7 @@
         }
         state.begin(task.index, Attempt { run: listed.run, slot, is_stopping: false });
         self.reserve(slot, task, listed.run, &step);
-        self.note_running(task.job);
+        self.mark_running(task.job);
         true
     }
 
@@ -178,8 +180,8 @@
 
     /// Keeps a worker from starting anything beside a run that is about to be stopped and whose
     /// needs may be unknown.
-    fn hold_foreign(&mut self, slot: Slot, listed: &Running) -> bool {
-        self.nodes[slot].foreign.insert((listed.task, listed.run));
+    fn hold_for_stale_run(&mut self, slot: Slot, listed: &Running) -> bool {
+        self.nodes[slot].stale_runs.insert((listed.task, listed.run));
         false
     }
 }
--- a/crates/core/src/flow/gauge.rs
+++ b/crates/core/src/flow/sampler.rs
@@ -5,29 +5,34 @@
 
 use super::message::{Image, Sample};
 use super::model::TaskId;
-use super::pace::{Fill, Serving};
+use super::pace::{BestEffortTask, ServingTask};
 use crate::time::Time;
 
 /// Looks further apart than this are not compared: the serving tasks' own load has changed too.
-const LONGEST_GAP: Duration = Duration::from_millis(1_300);
+const MAX_GAP: Duration = Duration::from_millis(1_300);
 /// Change of the fill work, in thousandths of a core, that tells something beside rounding.
-const LEAST_CHANGE: i64 = 100;
+const MIN_CPU_CHANGE: i64 = 100;
 
 /// Compares successive looks.
 #[derive(Debug, Default)]
-pub struct Gauge {
+pub struct Sampler {
     at: Time,
     tails: BTreeMap<TaskId, u64>,
-    fills: BTreeMap<Image, i64>,
+    cpu_used: BTreeMap<Image, i64>,
 }
 
-impl Gauge {
+impl Sampler {
     /// Takes the figures of a look; returns how tails and fill work changed since the last one, if
     /// both did.
-    pub fn observe(&mut self, now: Time, serving: &[Serving], filling: &[Fill]) -> Option<Sample> {
-        let mut fills: BTreeMap<Image, i64> = BTreeMap::new();
-        for fill in filling {
-            *fills.entry(fill.image).or_default() += fill.used as i64;
+    pub fn observe(
+        &mut self,
+        now: Time,
+        serving: &[ServingTask],
+        best_effort: &[BestEffortTask],
+    ) -> Option<Sample> {
+        let mut cpu_used: BTreeMap<Image, i64> = BTreeMap::new();
+        for task in best_effort {
+            *cpu_used.entry(task.image).or_default() += task.used as i64;
         }
         let mut tails = BTreeMap::new();
         let mut rises: BTreeMap<Image, (f64, u32)> = BTreeMap::new();
@@ -39,17 +44,21 @@
                 *count += 1;
             }
         }
-        let images = self.fills.keys().chain(fills.keys().filter(|i| !self.fills.contains_key(i)));
+        let images =
+            self.cpu_used.keys().chain(cpu_used.keys().filter(|i| !self.cpu_used.contains_key(i)));
         let change = |image: &Image| {
-            let of = |fills: &BTreeMap<Image, i64>| fills.get(image).copied().unwrap_or(0);
-            (*image, of(&fills) - of(&self.fills))
+            let of = |cpu_used: &BTreeMap<Image, i64>| cpu_used.get(image).copied().unwrap_or(0);
+            (*image, of(&cpu_used) - of(&self.cpu_used))
         };
-        let telling = |(_, change): &(Image, i64)| change.abs() >= LEAST_CHANGE;
-        let changes: Vec<(Image, i32)> =
-            images.map(change).filter(telling).map(|(image, by)| (image, by as i32)).collect();
-        let is_near = now <= self.at + LONGEST_GAP;
-        *self = Gauge { at: now, tails, fills };
-        if !is_near || changes.is_empty() || rises.is_empty() {
+        let is_significant = |(_, change): &(Image, i64)| change.abs() >= MIN_CPU_CHANGE;
+        let changes: Vec<(Image, i32)> = images
+            .map(change)
+            .filter(is_significant)
+            .map(|(image, by)| (image, by as i32))
+            .collect();
+        let is_recent = now <= self.at + MAX_GAP;
+        *self = Sampler { at: now, tails, cpu_used };
+        if !is_recent || changes.is_empty() || rises.is_empty() {
             return None;
         }
         let mean = |(image, (sum, count)): (Image, (f64, u32))| {
--- a/crates/core/src/flow/views.rs
+++ b/crates/core/src/flow/status.rs
@@ -38,8 +38,8 @@
             mean(|node| u64::from(node.pressure.level)),
             mean(|node| u64::from(node.pressure.tail_percent)),
             mean(|node| node.used.cpu_milli),
-            mean(|node| node.lasting.cpu_milli),
-            mean(|node| node.filled_cpu()),
+            mean(|node| node.long_running.cpu_milli),
+            mean(|node| node.total_best_effort_cpu()),
         )
     }
 
--- a/crates/core/src/flow/step.rs
+++ b/crates/core/src/flow/step.rs
@@ -49,7 +49,7 @@
 
     /// Tells whether all tasks are done.
     pub fn is_done(&self, step: &Step) -> bool {
-        !step.lasting && self.done_count >= step.count
+        !step.long_running && self.done_count >= step.count
     }
 
     /// Number of the next run of a task.
--- a/crates/core/tests/flow/press.rs
+++ b/crates/core/tests/flow/interference.rs
@@ -2,11 +2,11 @@
 
 use std::collections::BTreeMap;
 
-use peridotfold_core::flow::gauge::Gauge;
+use peridotfold_core::flow::interference::Interference;
 use peridotfold_core::flow::message::{Image, Sample};
 use peridotfold_core::flow::model::TaskId;
-use peridotfold_core::flow::pace::{Fill, Serving};
-use peridotfold_core::flow::press::Press;
+use peridotfold_core::flow::pace::{BestEffortTask, ServingTask};
+use peridotfold_core::flow::sampler::Sampler;
 
 use crate::support::ms;
 
@@ -17,11 +17,11 @@
 /// a third from look to look by the serving tasks' own load.
 #[test]
 fn heavy_pairs_are_told_from_light_ones_by_the_tails_of_mixed_workers() {
-    let weight = |serving: Image, fill: Image| match (serving * 7 + fill * 3) % 5 {
+    let weight = |serving: Image, best_effort: Image| match (serving * 7 + best_effort * 3) % 5 {
         0 => 4.0,
         _ => 0.2,
     };
-    let mut press = Press::default();
+    let mut interference = Interference::default();
     let mut random = fastrand::Rng::with_seed(7);
     for _ in 0..6_000 {
         let changes: Vec<(Image, i32)> =
@@ -33,11 +33,12 @@
         };
         let serving = [random.u32(0..9), random.u32(0..9)];
         let rises = serving.map(|image| rise(image, 600.0 * (random.f64() - 0.5))).to_vec();
-        press.learn(&Sample { rises, changes }, ROOM);
+        interference.learn(&Sample { rises, changes }, ROOM);
     }
-    let pairs = (0..9).flat_map(|serving| (0..18).map(move |fill| (serving, fill)));
+    let pairs = (0..9).flat_map(|serving| (0..18).map(move |best_effort| (serving, best_effort)));
     let (heavy, light): (Vec<_>, Vec<_>) = pairs.partition(|(s, f)| weight(*s, *f) > 1.0);
-    let known = |(serving, fill): &(Image, Image)| press.weight(*serving, *fill);
+    let known =
+        |(serving, best_effort): &(Image, Image)| interference.weight(*serving, *best_effort);
     let lightest_heavy = heavy.iter().map(known).fold(f64::MAX, f64::min);
     let heaviest_light = light.iter().map(known).fold(0.0, f64::max);
     assert!(lightest_heavy > heaviest_light * 2.0, "{lightest_heavy} {heaviest_light}");
@@ -47,31 +48,31 @@
     TaskId { job: 1, occurrence: 0, step: 0, index }
 }
 
-fn serves(index: u32, image: Image, tail_ms: u64) -> Serving {
-    Serving { task: task(index), image, tail_ms, target_ms: 50 }
+fn serving(index: u32, image: Image, tail_ms: u64) -> ServingTask {
+    ServingTask { task: task(index), image, tail_ms, target_ms: 50 }
 }
 
-fn fills(index: u32, image: Image, used: u64) -> Fill {
-    Fill { task: task(index), image, cpu: 4_000, used }
+fn best_effort(index: u32, image: Image, used: u64) -> BestEffortTask {
+    BestEffortTask { task: task(index), image, cpu: 4_000, used }
 }
 
 /// Guards against a lesson drawn from tasks that were not there before, or from looks that are so
 /// far apart that the load has changed.
 #[test]
 fn only_tasks_seen_in_two_close_looks_teach() {
-    let mut gauge = Gauge::default();
-    let first = ([serves(1, 10, 20)], [fills(2, 50, 1_000)]);
-    assert_eq!(gauge.observe(ms(1_000), &first.0, &first.1), None);
+    let mut sampler = Sampler::default();
+    let first = ([serving(1, 10, 20)], [best_effort(2, 50, 1_000)]);
+    assert_eq!(sampler.observe(ms(1_000), &first.0, &first.1), None);
     let second = (
-        [serves(1, 10, 40), serves(3, 11, 90), serves(5, 10, 0)],
-        [fills(2, 50, 1_000), fills(4, 51, 2_000)],
+        [serving(1, 10, 40), serving(3, 11, 90), serving(5, 10, 0)],
+        [best_effort(2, 50, 1_000), best_effort(4, 51, 2_000)],
     );
-    let sample = gauge.observe(ms(1_500), &second.0, &second.1).expect("fill work was added");
+    let sample = sampler.observe(ms(1_500), &second.0, &second.1).expect("fill work was added");
     assert_eq!(sample, Sample { rises: vec![(10, 693)], changes: vec![(51, 2_000)] });
-    let third = ([serves(1, 10, 20), serves(3, 11, 45)], [fills(2, 50, 1_000)]);
-    let sample = gauge.observe(ms(2_000), &third.0, &third.1).expect("fill work was taken away");
+    let third = ([serving(1, 10, 20), serving(3, 11, 45)], [best_effort(2, 50, 1_000)]);
+    let sample = sampler.observe(ms(2_000), &third.0, &third.1).expect("fill work was taken away");
     let rises: BTreeMap<Image, i32> = sample.rises.into_iter().collect();
     assert_eq!(rises, BTreeMap::from([(10, -693), (11, -693)]));
     assert_eq!(sample.changes, vec![(51, -2_000)]);
-    assert_eq!(gauge.observe(ms(4_000), &second.0, &second.1), None, "two seconds later");
+    assert_eq!(sampler.observe(ms(4_000), &second.0, &second.1), None, "two seconds later");
 }
--- a/crates/core/tests/flow/load.rs
+++ b/crates/core/tests/flow/load.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use peridotfold_core::flow::message::{EndKind, Pressure, Sample, Up};
+use peridotfold_core::flow::message::{AgentMessage, EndKind, Pressure, Sample};
 use peridotfold_core::flow::model::{JobSpec, Step, TaskId};
 
 use crate::support::{job, ms, step, World};
@@ -48,19 +48,19 @@
 fn a_job_with_nothing_running_begins_even_on_pressed_workers() {
     let mut world = World::new(1, 40_000);
     let mut serving = step(1, 5_000, 0);
-    serving.lasting = true;
+    serving.long_running = true;
     serving.target_ms = 50;
     world.submit(1, job(2, vec![serving]));
-    let fill = || {
-        let mut fill = step(4, 1_000, 2_000);
-        fill.fills = true;
-        job(2, vec![fill])
+    let best_effort = || {
+        let mut step = step(4, 1_000, 2_000);
+        step.best_effort = true;
+        job(2, vec![step])
     };
-    world.submit(2, fill());
+    world.submit(2, best_effort());
     assert_eq!(world.running().len(), 5);
     world.pressure = Pressure { level: 30, tail_percent: 97 };
     world.ping();
-    world.submit(3, fill());
+    world.submit(3, best_effort());
     let begun = |world: &World| world.running().iter().filter(|(_, task)| task.job == 3).count();
     world.advance(Duration::from_secs(1));
     assert_eq!(begun(&world), 0, "pressed workers get no more fill tasks at once");
@@ -68,16 +68,16 @@
     assert_eq!(begun(&world), 1, "but the job has to make progress");
 }
 
-fn filler() -> Step {
-    Step { fills: true, image: "filler".to_owned(), ..step(6, 1_000, 60_000) }
+fn best_effort() -> Step {
+    Step { best_effort: true, image: "filler".to_owned(), ..step(6, 1_000, 60_000) }
 }
 
 /// Six workers, of which half serve an image that the fill tasks of job 3 were seen to disturb.
 /// Returns these and the jobs.
-fn taught() -> (World, Vec<usize>, Vec<(u64, JobSpec)>) {
+fn trained() -> (World, Vec<usize>, Vec<(u64, JobSpec)>) {
     let mut world = World::new(6, 16_000);
     let serving = |image: &str| Step {
-        lasting: true,
+        long_running: true,
         target_ms: 50,
         image: image.to_owned(),
         per_worker: 1,
@@ -86,7 +86,7 @@
     let jobs = vec![
         (1, job(2, vec![serving("sensitive")])),
         (2, job(2, vec![serving("robust")])),
-        (3, job(2, vec![filler()])),
+        (3, job(2, vec![best_effort()])),
     ];
     world.submit(1, jobs[0].1.clone());
     world.submit(2, jobs[1].1.clone());
@@ -98,13 +98,14 @@
         for worker in &world.workers {
             let image = |task: &TaskId| worker.running[task].traits.image;
             let tasks = || worker.running.keys();
-            let Some(filler) = tasks().find(|task| task.job == 3).map(image) else { continue };
+            let Some(best_effort) = tasks().find(|task| task.job == 3).map(image) else { continue };
             let serving = tasks().find(|task| task.job < 3).expect("each worker serves");
             let rise = if serving.job == 1 { by / 2 } else { 0 };
             let sample =
-                Sample { rises: vec![(image(serving), rise)], changes: vec![(filler, by)] };
+                Sample { rises: vec![(image(serving), rise)], changes: vec![(best_effort, by)] };
             let (sent, pressure) = (world.now, Pressure { level: 100, tail_percent: 60 });
-            let up = Up::Ping { sent, pressure, samples: vec![sample], alone: Vec::new() };
+            let up =
+                AgentMessage::Ping { sent, pressure, samples: vec![sample], baselines: Vec::new() };
             world.owner.receive(world.now, worker.slot, worker.session, up);
         }
     }
@@ -112,8 +113,8 @@
 }
 
 /// Submits six more fill tasks; returns how many begin, and how many of them beside `sensitive`.
-fn fill(world: &mut World, sensitive: &[usize]) -> (usize, usize) {
-    world.submit(4, job(2, vec![filler()]));
+fn start_best_effort(world: &mut World, sensitive: &[usize]) -> (usize, usize) {
+    world.submit(4, job(2, vec![best_effort()]));
     let begun: Vec<usize> =
         world.running().iter().filter(|(_, task)| task.job == 4).map(|(w, _)| *w).collect();
     (begun.len(), begun.iter().filter(|worker| sensitive.contains(worker)).count())
@@ -124,22 +125,22 @@
 /// tasks of a few images only.
 #[test]
 fn fill_tasks_go_where_they_disturb_nobody() {
-    let (mut world, sensitive, _) = taught();
-    assert_eq!(fill(&mut world, &sensitive), (6, 0));
+    let (mut world, sensitive, _) = trained();
+    assert_eq!(start_best_effort(&mut world, &sensitive), (6, 0));
 }
 
 /// Guards against tails over their targets after each change of the owner: on trouble-1 of the grown
 /// guide the mean worst tail was 172 % ten seconds after all machines had lost power.
 #[test]
 fn a_successor_knows_which_fill_tasks_disturb_whom() {
-    let (mut world, sensitive, jobs) = taught();
+    let (mut world, sensitive, jobs) = trained();
     world.advance(Duration::from_secs(6));
     world.end_all(EndKind::Done, |task| task.job == 3 && task.index == 0);
     world.advance(Duration::from_secs(1));
     world.take_over(&jobs);
     (0..6).for_each(|index| world.attach(index));
     world.advance(Duration::from_secs(1));
-    assert_eq!(fill(&mut world, &sensitive), (6, 0));
+    assert_eq!(start_best_effort(&mut world, &sensitive), (6, 0));
 }
 
 /// Guards against a lasting task that stays away because small tasks take each processor that becomes
@@ -148,8 +149,8 @@
 #[test]
 fn a_lasting_task_that_ended_gets_its_room_back_from_a_queue_of_small_tasks() {
     let mut world = World::new(2, 4_000);
-    let lasting = Step { lasting: true, ..step(1, 3_000, 100) };
-    world.submit(1, job(2, vec![lasting]));
+    let long_running = Step { long_running: true, ..step(1, 3_000, 100) };
+    world.submit(1, job(2, vec![long_running]));
     world.advance(Duration::from_secs(10));
     for number in 2..60 {
         world.submit(number, job(2, vec![step(1, 1_000, 4_000)]));
--- a/crates/core/tests/flow/main.rs
+++ b/crates/core/tests/flow/main.rs
@@ -1,9 +1,9 @@
 //! The owner of jobs with steps, and the agent that carries out its orders, on virtual time.
 
+mod interference;
 mod load;
 mod node;
 mod owner;
 mod pace;
 mod place;
-mod press;
 mod support;
--- a/crates/core/tests/flow/node.rs
+++ b/crates/core/tests/flow/node.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 
 use peridotfold_core::flow::message::{
-    Down, End, EndKind, Running, Start, TaskTraits, Up, WorkerInfo,
+    AgentMessage, End, EndKind, OwnerMessage, Running, Start, TaskTraits, WorkerInfo,
 };
 use peridotfold_core::flow::model::TaskId;
-use peridotfold_core::flow::node::{Action, Call, Node, Outcome};
+use peridotfold_core::flow::node::{Action, AgentState, Call, Outcome};
 use peridotfold_core::resources::Resources;
 
 use crate::support::ms;
@@ -18,15 +18,15 @@
         id: "life-1".to_owned(),
         service: "svc".to_owned(),
         zone: "zone".to_owned(),
-        room: Resources::new(1_000, 1_000, 0),
+        capacity: Resources::new(1_000, 1_000, 0),
         labels: Vec::new(),
         draining: false,
         remaining: None,
     }
 }
 
-fn start(run: u32) -> Down {
-    Down::Start(Box::new(Start {
+fn start(run: u32) -> OwnerMessage {
+    OwnerMessage::Start(Box::new(Start {
         task: TASK,
         run,
         command: "run".to_owned(),
@@ -38,21 +38,21 @@
 }
 
 /// An agent whose worker was listed in a session with this token.
-fn attached(token: u64) -> Node {
-    let mut node = Node::default();
-    node.beat(ms(1), worker(), 1);
-    node.receive(ms(1), Down::Welcome { token, entries: Vec::new() });
+fn attached(token: u64) -> AgentState {
+    let mut node = AgentState::default();
+    node.heartbeat(ms(1), worker(), 1);
+    node.receive(ms(1), OwnerMessage::Welcome { token, entries: Vec::new() });
     node.listed(ms(2), "life-1", token, 1_000, Vec::new(), Vec::new());
     node.listed(ms(3), "life-1", token, 1_000, Vec::new(), Vec::new());
     let permission = Duration::from_secs(6);
     node.receive(
         ms(4),
-        Down::Pong { sent: ms(4), permission, entries: Vec::new(), weights: Vec::new() },
+        OwnerMessage::Pong { sent: ms(4), permission, entries: Vec::new(), weights: Vec::new() },
     );
     node
 }
 
-fn calls(node: &mut Node) -> Vec<Call> {
+fn calls(node: &mut AgentState) -> Vec<Call> {
     let actions = node.take_actions().into_iter();
     actions.filter_map(|a| if let Action::Call(call) = a { Some(call) } else { None }).collect()
 }
@@ -66,11 +66,13 @@
     node.take_actions();
     node.started(ms(1_005), "life-1", TASK, 1, Outcome::Unclear);
     let looks = calls(&mut node);
-    assert!(matches!(looks[..], [Call::Look { token: 101, .. }]), "{looks:?}");
+    assert!(matches!(looks[..], [Call::List { token: 101, .. }]), "{looks:?}");
     // A listing that was under way under the old token proves nothing.
     node.listed(ms(1_006), "life-1", 100, 2_000, Vec::new(), Vec::new());
-    let is_given_up = |node: &mut Node| {
-        node.take_actions().iter().any(|a| matches!(a, Action::Send(Up::NotStarted { .. })))
+    let is_given_up = |node: &mut AgentState| {
+        node.take_actions()
+            .iter()
+            .any(|a| matches!(a, Action::Send(AgentMessage::NotStarted { .. })))
     };
     assert!(!is_given_up(&mut node));
     node.listed(ms(1_010), "life-1", 101, 2_005, Vec::new(), Vec::new());
@@ -94,12 +96,12 @@
     let mut node = attached(100);
     node.receive(ms(10), start(1));
     let lapses = calls(&mut node).into_iter().find_map(|call| match call {
-        Call::Start { lapse, .. } => Some(lapse),
+        Call::Start { deadline, .. } => Some(deadline),
         _ => None,
     });
     // The worker's clock was 1,000 at 3 ms and the permission ends at 6,004 ms.
     let slow_clock_at_end = 1_000 + (6_004 - 3) * 98 / 100;
-    assert!(lapses.is_some_and(|lapse| lapse <= slow_clock_at_end), "{lapses:?}");
+    assert!(lapses.is_some_and(|deadline| deadline <= slow_clock_at_end), "{lapses:?}");
 }
 
 /// Guards against ends that reach the owner twice or not at all.
@@ -111,17 +113,17 @@
     let mut passed = 0;
     for at in [20, 120] {
         node.listed(ms(at), "life-1", 100, 1_100, Vec::new(), vec![end.clone()]);
-        let is_end = |a: &Action| matches!(a, Action::Send(Up::Ends { .. }));
+        let is_end = |a: &Action| matches!(a, Action::Send(AgentMessage::Ends { .. }));
         passed += node.take_actions().iter().filter(|action| is_end(action)).count();
     }
     assert_eq!(passed, 1);
-    node.receive(ms(130), Down::Seen { worker: "life-1".to_owned(), number: 1 });
+    node.receive(ms(130), OwnerMessage::Seen { worker: "life-1".to_owned(), number: 1 });
     node.poll(ms(300));
-    let seen = calls(&mut node).into_iter().find_map(|call| match call {
-        Call::Look { seen, .. } => Some(seen),
+    let acknowledged = calls(&mut node).into_iter().find_map(|call| match call {
+        Call::List { acknowledged, .. } => Some(acknowledged),
         _ => None,
     });
-    assert_eq!(seen, Some(1));
+    assert_eq!(acknowledged, Some(1));
 }
 
 /// Guards against a task that stands still on a worker that looks healthy.
@@ -134,7 +136,7 @@
     for at in 1..8 {
         let row = Running { task: TASK, run: 1, saved: String::new(), percent: 10, load: 0 };
         node.listed(ms(at * 1_000), "life-1", 100, 1_000 + at * 1_000, vec![row], Vec::new());
-        let is_report = |a: &Action| matches!(a, Action::Send(Up::Stalled { .. }));
+        let is_report = |a: &Action| matches!(a, Action::Send(AgentMessage::Stalled { .. }));
         reports += node.take_actions().iter().filter(|action| is_report(action)).count();
     }
     assert_eq!(reports, 1);
--- a/crates/core/tests/flow/owner.rs
+++ b/crates/core/tests/flow/owner.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use peridotfold_core::flow::message::{EndKind, Up};
+use peridotfold_core::flow::message::{AgentMessage, EndKind};
 use peridotfold_core::flow::model::TaskId;
 use peridotfold_core::flow::progress::Phase;
 
@@ -109,11 +109,11 @@
     world.store_is_up = false;
     world.end_all(EndKind::Done, |_| true);
     world.advance(ms(500));
-    assert_eq!(world.workers[0].seen, 0);
+    assert_eq!(world.workers[0].acknowledged, 0);
     assert_eq!(world.owner.phase(7), Some(Phase::Running));
     world.store_is_up = true;
     world.advance(ms(200));
-    assert_eq!(world.workers[0].seen, 1);
+    assert_eq!(world.workers[0].acknowledged, 1);
     assert_eq!(world.owner.phase(7), Some(Phase::Completed));
 }
 
@@ -151,7 +151,7 @@
     let spec = job(2, vec![step(1, 9_000, 500)]);
     let (slot, session) = (world.workers[2].slot, world.workers[2].session);
     let worker = world.workers[2].info.id.clone();
-    world.owner.receive(world.now, slot, session, Up::Gone { worker });
+    world.owner.receive(world.now, slot, session, AgentMessage::Gone { worker });
     world.workers.truncate(2);
     world.settle();
     world.submit(7, spec.clone());
--- a/crates/core/tests/flow/pace.rs
+++ b/crates/core/tests/flow/pace.rs
@@ -1,31 +1,37 @@
 //! Pace of fill tasks beside serving tasks.
 
 use peridotfold_core::flow::model::TaskId;
-use peridotfold_core::flow::pace::{Fill, Pacer, Serving};
+use peridotfold_core::flow::pace::{BestEffortTask, Pacer, ServingTask};
 
 use crate::support::ms;
 
 const TARGET: u32 = 50;
 const ROOM: u64 = 16_000;
 
-fn fill(index: u32, image: u32, cpu: u64, used: u64) -> Fill {
-    Fill { task: TaskId { job: 1, occurrence: 0, step: 0, index }, image, cpu, used }
+fn best_effort(index: u32, image: u32, cpu: u64, used: u64) -> BestEffortTask {
+    BestEffortTask { task: TaskId { job: 1, occurrence: 0, step: 0, index }, image, cpu, used }
 }
 
-fn serving(image: u32, tail_ms: u64) -> Serving {
+fn serving(image: u32, tail_ms: u64) -> ServingTask {
     let task = TaskId { job: 2, occurrence: 0, step: 0, index: image };
-    Serving { task, image, tail_ms, target_ms: TARGET }
+    ServingTask { task, image, tail_ms, target_ms: TARGET }
 }
 
 /// Plays `seconds` with a tail that fill tasks raise from `alone` by `press` at full pace.
-fn play(pacer: &mut Pacer, from_ms: u64, seconds: u64, alone: f64, press: f64) -> Vec<(u32, f64)> {
+fn play(
+    pacer: &mut Pacer,
+    from_ms: u64,
+    seconds: u64,
+    baselines: f64,
+    slowdown: f64,
+) -> Vec<(u32, f64)> {
     let mut pace = pacer.pressure().level;
     let looks = (0..seconds * 2).map(|n| from_ms + n * 500);
     looks
         .map(|at| {
-            let tail = alone * (1.0 + press * f64::from(pace) / 100.0);
-            let fills = [fill(0, 2, ROOM, ROOM * u64::from(pace) / 100)];
-            let paces = pacer.observe(ms(at), ROOM, &[serving(1, tail as u64)], &fills);
+            let tail = baselines * (1.0 + slowdown * f64::from(pace) / 100.0);
+            let tasks = [best_effort(0, 2, ROOM, ROOM * u64::from(pace) / 100)];
+            let paces = pacer.observe(ms(at), ROOM, &[serving(1, tail as u64)], &tasks);
             pace = paces[0].1;
             (pace, tail)
         })
@@ -67,18 +73,18 @@
 #[test]
 fn the_fill_task_that_disturbs_most_is_paced_first() {
     let mut pacer = Pacer::default();
-    pacer.know(1, 10, 6_000);
-    pacer.know(1, 11, 50);
-    pacer.know(2, 10, 50);
-    pacer.know(2, 11, 50);
+    pacer.set_weight(1, 10, 6_000);
+    pacer.set_weight(1, 11, 50);
+    pacer.set_weight(2, 10, 50);
+    pacer.set_weight(2, 11, 50);
     let tails = [serving(1, 60), serving(2, 10)];
-    let fills = [fill(0, 10, 4_000, 4_000), fill(1, 11, 4_000, 4_000)];
-    let paces = pacer.observe(ms(500), ROOM, &tails, &fills);
+    let tasks = [best_effort(0, 10, 4_000, 4_000), best_effort(1, 11, 4_000, 4_000)];
+    let paces = pacer.observe(ms(500), ROOM, &tails, &tasks);
     assert!((50..90).contains(&paces[0].1), "down to the target: {paces:?}");
     assert_eq!(paces[1].1, 100, "it disturbs nobody");
-    pacer.know(2, 10, 6_000);
-    pacer.know(1, 10, 50);
-    let paces = pacer.observe(ms(1_000), ROOM, &[serving(2, 10)], &fills);
+    pacer.set_weight(2, 10, 6_000);
+    pacer.set_weight(1, 10, 50);
+    let paces = pacer.observe(ms(1_000), ROOM, &[serving(2, 10)], &tasks);
     assert_eq!(paces[0].1, 100, "the image that it disturbs is far under its target");
 }
 
@@ -87,11 +93,11 @@
 #[test]
 fn all_fill_tasks_stop_beside_a_task_that_stays_over_its_target() {
     let mut pacer = Pacer::default();
-    pacer.know(1, 10, 0);
+    pacer.set_weight(1, 10, 0);
     let mut paces = Vec::new();
     for at in 1..6 {
-        let fills = [fill(0, 10, 1_000, 1_000)];
-        paces.push(pacer.observe(ms(at * 500), ROOM, &[serving(1, 80)], &fills)[0].1);
+        let tasks = [best_effort(0, 10, 1_000, 1_000)];
+        paces.push(pacer.observe(ms(at * 500), ROOM, &[serving(1, 80)], &tasks)[0].1);
     }
     assert_eq!(paces[0], 100, "{paces:?}");
     assert_eq!(paces[4], 0, "{paces:?}");
--- a/crates/core/tests/flow/place.rs
+++ b/crates/core/tests/flow/place.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use peridotfold_core::flow::message::{EndKind, Up};
+use peridotfold_core::flow::message::{AgentMessage, EndKind};
 use peridotfold_core::flow::model::Step;
 use peridotfold_core::resources::Resources;
 
@@ -37,12 +37,12 @@
 #[test]
 fn a_draining_worker_gets_no_starts_and_lasting_tasks_leave_it() {
     let mut world = World::new(2, 1_000);
-    world.submit(1, job(2, vec![Step { lasting: true, ..step(1, 500, 0) }]));
+    world.submit(1, job(2, vec![Step { long_running: true, ..step(1, 500, 0) }]));
     let (home, _) = world.running()[0];
     let (slot, session) = (world.workers[home].slot, world.workers[home].session);
     let worker = world.workers[home].info.id.clone();
     let remaining = Some(ms(2_000));
-    world.owner.receive(world.now, slot, session, Up::Draining { worker, remaining });
+    world.owner.receive(world.now, slot, session, AgentMessage::Draining { worker, remaining });
     world.settle();
     world.submit(2, job(2, vec![step(2, 200, 500)]));
     let places: BTreeSet<usize> = world.running().iter().map(|(worker, _)| *worker).collect();
@@ -57,7 +57,7 @@
     let mut world = World::new(4, 10_000);
     world.submit(1, job(2, vec![Step { per_worker: 1, ..step(6, 100, 500) }]));
     assert_eq!(world.running().len(), 4, "one on each worker");
-    let labelled = Step { requires: Some("r1".to_owned()), ..step(3, 100, 500) };
+    let labelled = Step { required_label: Some("r1".to_owned()), ..step(3, 100, 500) };
     world.submit(2, job(2, vec![labelled]));
     let places: BTreeSet<usize> =
         world.running().iter().filter(|(_, task)| task.job == 2).map(|(w, _)| *w).collect();
@@ -73,10 +73,10 @@
 #[test]
 fn a_worker_is_not_kept_for_a_lasting_task_that_never_fits_there() {
     let mut world = World::new(1, 4_000);
-    let lasting =
-        |memory| Step { lasting: true, need: Resources::new(500, memory, 0), ..step(1, 0, 0) };
-    world.submit(1, job(2, vec![lasting(900_000)]));
-    world.submit(2, job(2, vec![lasting(200_000)]));
+    let long_running =
+        |memory| Step { long_running: true, need: Resources::new(500, memory, 0), ..step(1, 0, 0) };
+    world.submit(1, job(2, vec![long_running(900_000)]));
+    world.submit(2, job(2, vec![long_running(200_000)]));
     world.submit(3, job(2, vec![step(2, 1_000, 500)]));
     let begun: Vec<_> = world.running().iter().map(|(_, task)| task.job).collect();
     assert_eq!(begun, [1, 3, 3]);
--- a/crates/core/tests/flow/support.rs
+++ b/crates/core/tests/flow/support.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use peridotfold_core::flow::message::{
-    Down, End, EndKind, Pressure, Running, Start, Up, WorkerInfo,
+    AgentMessage, End, EndKind, OwnerMessage, Pressure, Running, Start, WorkerInfo,
 };
 use peridotfold_core::flow::model::{JobNumber, JobSpec, Queue, Run, Step, TaskId};
 use peridotfold_core::flow::owner::{Commit, Effect, Owner, OwnerSettings, Session, Slot};
@@ -61,7 +61,7 @@
     pub session: Session,
     pub running: BTreeMap<TaskId, Start>,
     pub ends: Vec<End>,
-    pub seen: u64,
+    pub acknowledged: u64,
     next_end: u64,
 }
 
@@ -95,7 +95,7 @@
             pressure: Pressure::default(),
             store_is_up: true,
         };
-        world.owner.set_valid(Time::MAX);
+        world.owner.set_valid_until(Time::MAX);
         for index in 0..workers {
             world.add_worker(index, cpu);
         }
@@ -108,7 +108,7 @@
             id: format!("life-{index}"),
             service: "svc".to_owned(),
             zone: "zone".to_owned(),
-            room: Resources::new(cpu, 1_000_000, 0),
+            capacity: Resources::new(cpu, 1_000_000, 0),
             labels: vec!["a".to_owned(), format!("r{}", index / 3)],
             draining: false,
             remaining: None,
@@ -120,7 +120,7 @@
             session,
             running: BTreeMap::new(),
             ends: Vec::new(),
-            seen: 0,
+            acknowledged: 0,
             next_end: 1,
         };
         self.workers.push(worker);
@@ -144,7 +144,7 @@
             percent: 0,
             load: 0,
         });
-        let up = Up::Attach {
+        let up = AgentMessage::Attach {
             worker: Some(worker.info.clone()),
             running: running.collect(),
             ends: worker.ends.clone(),
@@ -158,18 +158,18 @@
         let epoch = 2;
         let mut records: BTreeMap<JobNumber, Progress> = BTreeMap::new();
         let mut roster = Vec::new();
-        let mut press = Vec::new();
+        let mut interference = Vec::new();
         for commit in &self.commits {
-            press = commit.press.clone().unwrap_or(press);
+            interference = commit.interference.clone().unwrap_or(interference);
             for record in &commit.records {
                 records.insert(record.job, record.progress.clone());
             }
             roster = commit.roster.clone().unwrap_or(roster);
         }
         self.owner = Owner::new(settings(epoch), self.now);
-        self.owner.set_valid(Time::MAX);
+        self.owner.set_valid_until(Time::MAX);
         self.owner.set_predecessor(self.now, roster);
-        self.owner.inherit_press(&press);
+        self.owner.inherit_interference(&interference);
         for (number, spec) in jobs {
             let progress = records.remove(number).unwrap_or_default();
             self.owner.inherit(self.now, *number, spec.clone(), progress);
@@ -199,24 +199,24 @@
         }
     }
 
-    fn deliver(&mut self, session: Session, message: Down) {
+    fn deliver(&mut self, session: Session, message: OwnerMessage) {
         let Some(index) = self.workers.iter().position(|worker| worker.session == session) else {
             return;
         };
         match message {
-            Down::Start(start) => {
+            OwnerMessage::Start(start) => {
                 self.started.push((self.now, index, start.task, start.run));
                 self.workers[index].running.insert(start.task, *start);
             }
-            Down::Stop { task, run } => {
+            OwnerMessage::Stop { task, run } => {
                 self.stopped.push((task, run));
                 if self.workers[index].running.contains_key(&task) {
                     self.end(index, task, EndKind::Stopped);
                 }
             }
-            Down::Seen { number, .. } => {
+            OwnerMessage::Seen { number, .. } => {
                 let worker = &mut self.workers[index];
-                worker.seen = number;
+                worker.acknowledged = number;
                 worker.ends.retain(|end| end.number > number);
             }
             _ => {}
@@ -230,7 +230,7 @@
         let end = End { number: worker.next_end, task, run: start.run, kind, saved: String::new() };
         worker.next_end += 1;
         worker.ends.push(end.clone());
-        let up = Up::Ends { worker: worker.info.id.clone(), ends: vec![end] };
+        let up = AgentMessage::Ends { worker: worker.info.id.clone(), ends: vec![end] };
         self.owner.receive(self.now, worker.slot, worker.session, up);
     }
 
@@ -259,11 +259,11 @@
     /// Lets every agent ask for permission.
     pub fn ping(&mut self) {
         for worker in &self.workers {
-            let up = Up::Ping {
+            let up = AgentMessage::Ping {
                 sent: self.now,
                 pressure: self.pressure,
                 samples: Vec::new(),
-                alone: Vec::new(),
+                baselines: Vec::new(),
             };
             self.owner.receive(self.now, worker.slot, worker.session, up);
         }
--- a/crates/hosted/src/agent.rs
+++ b/crates/hosted/src/agent.rs
@@ -5,8 +5,8 @@
 
 use async_channel::{Receiver, Sender};
 use futures_lite::future;
-use peridotfold_core::flow::message::{Down, Greeting, Up, WorkerInfo};
-use peridotfold_core::flow::node::{Action, Call, Node, Outcome};
+use peridotfold_core::flow::message::{AgentMessage, Greeting, OwnerMessage, WorkerInfo};
+use peridotfold_core::flow::node::{Action, AgentState, Call, Outcome};
 use peridotfold_wire::error::WireError;
 use peridotfold_wire::runtime;
 use peridotfold_wire::shutdown::Shutdown;
@@ -32,9 +32,9 @@
 enum Event {
     Beat(Beat),
     Answer(Call, WorkerAnswer),
-    LinkUp(Outbox<Up>),
+    LinkUp(Outbox<AgentMessage>),
     LinkDown,
-    Down(Vec<Down>),
+    OwnerMessage(Vec<OwnerMessage>),
 }
 
 /// An agent that is about to run.
@@ -53,8 +53,8 @@
 
 impl Beats {
     /// Passes a report or sign-off on.
-    pub async fn tell(&self, beat: Beat) {
-        if self.0.send(Event::Beat(beat)).await.is_err() {
+    pub async fn tell(&self, heartbeat: Beat) {
+        if self.0.send(Event::Beat(heartbeat)).await.is_err() {
             tracing::info!(event = "beat_dropped", reason = "stopping");
         }
     }
@@ -83,8 +83,8 @@
 }
 
 async fn work<W: Worker>(worker: &W, sender: &Sender<Event>, events: &Receiver<Event>) {
-    let mut node = Node::default();
-    let mut outbox: Option<Outbox<Up>> = None;
+    let mut node = AgentState::default();
+    let mut outbox: Option<Outbox<AgentMessage>> = None;
     loop {
         let pause = node.next_poll(runtime::now());
         let event = future::or(async { events.recv().await.ok() }, async {
@@ -95,14 +95,16 @@
         let now = runtime::now();
         match event {
             None => node.poll(now),
-            Some(Event::Beat(Beat::Report { info, sequence })) => node.beat(now, info, sequence),
-            Some(Event::Beat(Beat::SignOff { id })) => node.leave(now, &id),
+            Some(Event::Beat(Beat::Report { info, sequence })) => {
+                node.heartbeat(now, info, sequence)
+            }
+            Some(Event::Beat(Beat::SignOff { id })) => node.deregister(now, &id),
             Some(Event::LinkUp(link)) => outbox = Some(link),
             Some(Event::LinkDown) => {
                 outbox = None;
                 node.disconnected();
             }
-            Some(Event::Down(messages)) => {
+            Some(Event::OwnerMessage(messages)) => {
                 messages.into_iter().for_each(|message| node.receive(now, message));
             }
             Some(Event::Answer(call, answer)) => apply(&mut node, now, call, answer),
@@ -111,7 +113,7 @@
             match action {
                 Action::Log(decision) => decisions::log(&decision),
                 // Closes the connection, which the reader reports.
-                Action::Relink => outbox = None,
+                Action::Reconnect => outbox = None,
                 Action::Send(message) => {
                     let is_lost = outbox.as_ref().is_some_and(|o| o.try_send(message).is_err());
                     if is_lost {
@@ -134,13 +136,13 @@
     }
 }
 
-fn apply(node: &mut Node, now: Duration, call: Call, answer: WorkerAnswer) {
+fn apply(node: &mut AgentState, now: Duration, call: Call, answer: WorkerAnswer) {
     match (call, answer) {
-        (Call::Look { worker, .. }, WorkerAnswer::Listed { token, clock, running, ends }) => {
+        (Call::List { worker, .. }, WorkerAnswer::Listed { token, clock, running, ends }) => {
             node.listed(now, &worker, token, clock, running, ends);
         }
-        (Call::Look { worker, token, .. }, WorkerAnswer::Other(outcome)) => {
-            node.look_failed(now, &worker, token, &outcome);
+        (Call::List { worker, token, .. }, WorkerAnswer::Other(outcome)) => {
+            node.list_failed(now, &worker, token, &outcome);
         }
         (Call::Start { worker, start, .. }, WorkerAnswer::Other(outcome)) => {
             node.started(now, &worker, start.task, start.run, outcome);
@@ -200,13 +202,13 @@
     let mut inbox = Inbox::new(stream, owner.to_string());
     let mut outbox = Some(outbox);
     loop {
-        let messages: Vec<Down> = inbox.receive(SILENCE).await?;
+        let messages: Vec<OwnerMessage> = inbox.receive(SILENCE).await?;
         let mut has_lapsed = false;
         for message in &messages {
             match message {
-                Down::Pong { permission, .. } if permission.is_zero() => has_lapsed = true,
-                Down::Redirect { owner } => return Ok(*owner),
-                Down::Welcome { entries, .. } | Down::Pong { entries, .. } => {
+                OwnerMessage::Pong { permission, .. } if permission.is_zero() => has_lapsed = true,
+                OwnerMessage::Redirect { owner } => return Ok(*owner),
+                OwnerMessage::Welcome { entries, .. } | OwnerMessage::Pong { entries, .. } => {
                     directory.learn(entries.iter().copied());
                 }
                 _ => {}
@@ -218,7 +220,7 @@
                 return Ok(None);
             }
         }
-        if sender.send(Event::Down(messages)).await.is_err() {
+        if sender.send(Event::OwnerMessage(messages)).await.is_err() {
             return Ok(None);
         }
         if has_lapsed && directory::is_replaced(store, owner, false).await {
--- a/crates/hosted/src/entry.rs
+++ b/crates/hosted/src/entry.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use futures_lite::future;
 use parking_lot::{Mutex, RwLock};
-use peridotfold_core::flow::message::{Answer, Ask, Stored};
+use peridotfold_core::flow::message::{EntryRequest, OwnerReply, Stored};
 use peridotfold_core::flow::model::{JobNumber, JobSpec};
 use peridotfold_core::flow::owner::OwnerSettings;
 use peridotfold_core::flow::progress::{Phase, Progress};
@@ -245,9 +245,9 @@
         }
         // The owner may reach the store when this entry does not.
         if let (Stored::No, (Role::Follower(follower), _)) = (outcome, self.role()) {
-            let ask = |query| Ask::Submit { query, job, record };
+            let ask = |query| EntryRequest::Submit { query, job, record };
             outcome = match follower.ask(left(), ask).await {
-                Some(Answer::Stored { outcome, .. }) => outcome,
+                Some(OwnerReply::Stored { outcome, .. }) => outcome,
                 _ => Stored::Unclear,
             };
         }
@@ -303,8 +303,9 @@
             outcome = within(left(), Stored::Unclear, self.store_cancel(job)).await;
         }
         if let (Stored::No, (Role::Follower(follower), _)) = (outcome, self.role()) {
-            outcome = match follower.ask(left(), |query| Ask::Cancel { query, job }).await {
-                Some(Answer::Stored { outcome, .. }) => outcome,
+            outcome = match follower.ask(left(), |query| EntryRequest::Cancel { query, job }).await
+            {
+                Some(OwnerReply::Stored { outcome, .. }) => outcome,
                 _ => Stored::Unclear,
             };
         }
@@ -349,8 +350,8 @@
                 office.read(|owner, now| owner.is_valid(now).then(|| owner.phase(job)).flatten())
             }
             Role::Follower(follower) => {
-                match follower.ask(ASK_TIMEOUT, |query| Ask::State { query, job }).await {
-                    Some(Answer::State { state, .. }) => state,
+                match follower.ask(ASK_TIMEOUT, |query| EntryRequest::State { query, job }).await {
+                    Some(OwnerReply::State { state, .. }) => state,
                     _ => None,
                 }
             }
@@ -396,9 +397,9 @@
         match self.role().0 {
             Role::Owner(office) => Some(office.read(|owner, _| owner.waiting(queue))),
             Role::Follower(follower) => {
-                let ask = |query| Ask::Waiting { query, queue: queue.to_owned() };
+                let ask = |query| EntryRequest::Waiting { query, queue: queue.to_owned() };
                 match follower.ask(ASK_TIMEOUT, ask).await {
-                    Some(Answer::Waiting { count, .. }) => count,
+                    Some(OwnerReply::Waiting { count, .. }) => count,
                     _ => None,
                 }
             }
--- a/crates/hosted/src/follower.rs
+++ b/crates/hosted/src/follower.rs
@@ -10,7 +10,7 @@
 use async_channel::Sender;
 use futures_lite::future;
 use parking_lot::Mutex;
-use peridotfold_core::flow::message::{Answer, Ask, Greeting};
+use peridotfold_core::flow::message::{EntryRequest, Greeting, OwnerReply};
 use peridotfold_wire::error::WireError;
 use peridotfold_wire::runtime;
 use peridotfold_wire::shutdown::Shutdown;
@@ -29,8 +29,8 @@
 /// Asks the owner.
 #[derive(Debug)]
 pub(crate) struct Follower {
-    outbox: Outbox<Ask>,
-    waiting: Mutex<HashMap<u64, Sender<Answer>>>,
+    outbox: Outbox<EntryRequest>,
+    waiting: Mutex<HashMap<u64, Sender<OwnerReply>>>,
     next_query: AtomicU64,
 }
 
@@ -57,8 +57,8 @@
     pub(crate) async fn ask(
         &self,
         limit: Duration,
-        ask: impl FnOnce(u64) -> Ask,
-    ) -> Option<Answer> {
+        ask: impl FnOnce(u64) -> EntryRequest,
+    ) -> Option<OwnerReply> {
         let query = self.next_query.fetch_add(1, Ordering::Relaxed);
         let (sender, receiver) = async_channel::bounded(1);
         self.waiting.lock().insert(query, sender);
@@ -77,7 +77,7 @@
         answer
     }
 
-    fn resolve(&self, query: u64, answer: Answer) {
+    fn resolve(&self, query: u64, answer: OwnerReply) {
         if let Some(sender) = self.waiting.lock().remove(&query) {
             // The asker may have given up.
             let _ = sender.try_send(answer);
@@ -96,15 +96,15 @@
         let greeting = Greeting::Entry { node: node.to_owned(), address };
         connection::greet(&stream, &greeting, peer).await?;
         let outbox = connection::start_writer(stream.clone(), peer.to_string());
-        if outbox.try_send(Ask::Ping).is_err() {
+        if outbox.try_send(EntryRequest::Ping).is_err() {
             tracing::debug!(event = "ping_not_sent", %peer);
         }
         let mut inbox = Inbox::new(stream, peer.to_string());
-        inbox.receive_one::<Answer>(ASK_TIMEOUT).await
+        inbox.receive_one::<OwnerReply>(ASK_TIMEOUT).await
     };
     match asking.await {
-        Ok(Answer::Redirect { owner }) => owner,
-        Ok(Answer::Pong { is_valid: true, .. }) => Some(peer),
+        Ok(OwnerReply::Redirect { owner }) => owner,
+        Ok(OwnerReply::Pong { is_valid: true, .. }) => Some(peer),
         Ok(_) => None,
         Err(error) => {
             tracing::info!(event = "entry_not_asked", %peer, %error);
@@ -139,7 +139,7 @@
     });
     let pinging = async {
         loop {
-            if outbox.try_send(Ask::Ping).is_err() {
+            if outbox.try_send(EntryRequest::Ping).is_err() {
                 future::pending::<()>().await;
             }
             runtime::sleep(PING_INTERVAL).await;
@@ -148,22 +148,22 @@
     let reading = async {
         let mut inbox = Inbox::new(stream, owner.to_string());
         loop {
-            match inbox.receive::<Answer>(SILENCE).await {
+            match inbox.receive::<OwnerReply>(SILENCE).await {
                 Err(error) => return Ended::Lost(error),
                 Ok(answers) => {
                     for answer in answers {
                         match answer {
-                            Answer::Redirect { owner } => return Ended::Redirected(owner),
-                            Answer::Pong { entries, is_valid } => {
+                            OwnerReply::Redirect { owner } => return Ended::Redirected(owner),
+                            OwnerReply::Pong { entries, is_valid } => {
                                 joined(&follower, entries);
                                 // A vacant lock can be claimed by this entry.
                                 if !is_valid && directory::is_replaced(store, owner, true).await {
                                     return Ended::Redirected(None);
                                 }
                             }
-                            Answer::State { query, .. }
-                            | Answer::Waiting { query, .. }
-                            | Answer::Stored { query, .. } => follower.resolve(query, answer),
+                            OwnerReply::State { query, .. }
+                            | OwnerReply::Waiting { query, .. }
+                            | OwnerReply::Stored { query, .. } => follower.resolve(query, answer),
                         }
                     }
                 }
--- a/crates/hosted/src/keeper.rs
+++ b/crates/hosted/src/keeper.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use futures_lite::future;
+use peridotfold_core::flow::interference::InterferenceRow;
 use peridotfold_core::flow::owner::{Commit, Owner, OwnerSettings, Record};
-use peridotfold_core::flow::press::PressRow;
 use peridotfold_core::time::Time;
 use peridotfold_wire::runtime;
 use smol::lock::Mutex;
@@ -128,7 +128,7 @@
         let (inbox, as_of) = self.store.range(records::INBOX).await?;
         let (progress, _) = self.store.range(records::PROGRESS).await?;
         let roster = self.store.get(records::ROSTER).await?;
-        let press = self.store.get(records::PRESS).await?;
+        let interference = self.store.get(records::PRESS).await?;
         let now = runtime::now();
         let mut owner = Owner::new(OwnerSettings { epoch, ..settings }, now);
         let roster: Vec<String> = match roster.map(|item| records::decode(&item.value)) {
@@ -146,8 +146,8 @@
             agents = roster.len()
         );
         owner.set_predecessor(now, roster);
-        match press.map(|item| records::decode::<Vec<PressRow>>(&item.value)) {
-            Some(Ok(rows)) => owner.inherit_press(&rows),
+        match interference.map(|item| records::decode::<Vec<InterferenceRow>>(&item.value)) {
+            Some(Ok(rows)) => owner.inherit_interference(&rows),
             // It is learned again.
             Some(Err(error)) => tracing::warn!(event = "press_unreadable", %error),
             None => {}
@@ -159,7 +159,7 @@
 
     /// Keeps the ownership until it is lost or the office is ended.
     pub(crate) async fn run(&self, office: &Office, as_of: Revision) {
-        office.update(|owner, _| owner.set_valid(self.valid_until));
+        office.update(|owner, _| owner.set_valid_until(self.valid_until));
         let ended = async {
             office.ended.wait().await;
         };
@@ -208,7 +208,7 @@
             let lease = self.held.lock().await.lease;
             match self.store.renew_lease(lease).await {
                 Ok(true) => {
-                    office.update(|owner, _| owner.set_valid(valid_from(sent, LOCK_TTL)));
+                    office.update(|owner, _| owner.set_valid_until(valid_from(sent, LOCK_TTL)));
                 }
                 Ok(false) => {
                     tracing::warn!(event = "lease_ended", lease);
@@ -273,7 +273,7 @@
                 tracing::info!(event = "ownership_claimed_again", epoch = fence.epoch);
                 office.update(|owner, _| {
                     owner.set_epoch(fence.epoch);
-                    owner.set_valid(until);
+                    owner.set_valid_until(until);
                 });
                 true
             }
@@ -472,8 +472,8 @@
             write.removes.push(records::cancel_key(*job));
         }
     }
-    if let Some(press) = &commit.press {
-        write.puts.push((records::PRESS.to_owned(), encoded(press)?, None));
+    if let Some(interference) = &commit.interference {
+        write.puts.push((records::PRESS.to_owned(), encoded(interference)?, None));
     }
     if let Some(roster) = &commit.roster {
         write.puts.push((records::ROSTER.to_owned(), encoded(roster)?, None));
--- a/crates/hosted/src/office.rs
+++ b/crates/hosted/src/office.rs
@@ -6,7 +6,7 @@
 
 use async_channel::{Receiver, Sender};
 use parking_lot::Mutex;
-use peridotfold_core::flow::message::{Down, Token};
+use peridotfold_core::flow::message::{OwnerMessage, Token};
 use peridotfold_core::flow::owner::{Effect, Owner, Session, Slot};
 use peridotfold_core::time::Time;
 use peridotfold_wire::runtime;
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 pub(crate) struct Office {
     owner: Mutex<Owner>,
-    outboxes: Mutex<HashMap<Session, Outbox<Down>>>,
+    outboxes: Mutex<HashMap<Session, Outbox<OwnerMessage>>>,
     /// Entries that are connected, and all that ever were.
     entries: Mutex<BTreeSet<SocketAddr>>,
     known: Mutex<BTreeSet<SocketAddr>>,
@@ -90,10 +90,10 @@
         read(&self.owner.lock(), runtime::now())
     }
 
-    fn complete(&self, message: Down) -> Down {
+    fn complete(&self, message: OwnerMessage) -> OwnerMessage {
         match message {
-            Down::Pong { sent, permission, weights, .. } => {
-                Down::Pong { sent, permission, entries: self.entries(), weights }
+            OwnerMessage::Pong { sent, permission, weights, .. } => {
+                OwnerMessage::Pong { sent, permission, entries: self.entries(), weights }
             }
             other => other,
         }
@@ -118,15 +118,15 @@
     }
 
     /// Opens the session of an agent.
-    pub(crate) fn open_session(&self, node: &str, outbox: Outbox<Down>) -> (Slot, Session) {
+    pub(crate) fn open_session(&self, node: &str, outbox: Outbox<OwnerMessage>) -> (Slot, Session) {
         let (slot, session, token) = self.update(|owner, now| owner.connect(now, node));
         self.welcome(&outbox, token);
         self.outboxes.lock().insert(session, outbox);
         (slot, session)
     }
 
-    fn welcome(&self, outbox: &Outbox<Down>, token: Token) {
-        let welcome = Down::Welcome { token, entries: self.entries() };
+    fn welcome(&self, outbox: &Outbox<OwnerMessage>, token: Token) {
+        let welcome = OwnerMessage::Welcome { token, entries: self.entries() };
         if outbox.try_send(welcome).is_err() {
             tracing::info!(event = "agent_lost_early");
         }
--- a/crates/hosted/src/sessions.rs
+++ b/crates/hosted/src/sessions.rs
@@ -5,7 +5,9 @@
 use std::time::Duration;
 
 use futures_lite::future;
-use peridotfold_core::flow::message::{Answer, Ask, Down, Greeting, Stored, Up};
+use peridotfold_core::flow::message::{
+    AgentMessage, EntryRequest, Greeting, OwnerMessage, OwnerReply, Stored,
+};
 use peridotfold_wire::runtime;
 use smol::net::TcpStream;
 
@@ -45,11 +47,11 @@
         }
         (_, Greeting::Agent { .. }) => {
             let outbox = connection::start_writer(stream, peer.to_string());
-            send(&outbox, Down::Redirect { owner }, inbox.peer());
+            send(&outbox, OwnerMessage::Redirect { owner }, inbox.peer());
         }
         (_, Greeting::Entry { .. }) => {
             let outbox = connection::start_writer(stream, peer.to_string());
-            send(&outbox, Answer::Redirect { owner }, inbox.peer());
+            send(&outbox, OwnerReply::Redirect { owner }, inbox.peer());
         }
     }
 }
@@ -64,10 +66,11 @@
     let outbox = connection::start_writer(stream, inbox.peer().to_owned());
     let (slot, session) = office.open_session(node, outbox);
     loop {
-        let received = future::or(async { Some(inbox.receive::<Up>(SILENCE).await) }, async {
-            office.ended.wait().await;
-            None
-        });
+        let received =
+            future::or(async { Some(inbox.receive::<AgentMessage>(SILENCE).await) }, async {
+                office.ended.wait().await;
+                None
+            });
         match received.await {
             Some(Ok(messages)) => office.update(|owner, now| {
                 for message in messages {
@@ -92,10 +95,11 @@
 ) {
     let outbox = connection::start_writer(stream, inbox.peer().to_owned());
     loop {
-        let received = future::or(async { Some(inbox.receive::<Ask>(SILENCE).await) }, async {
-            office.ended.wait().await;
-            None
-        });
+        let received =
+            future::or(async { Some(inbox.receive::<EntryRequest>(SILENCE).await) }, async {
+                office.ended.wait().await;
+                None
+            });
         let messages = match received.await {
             Some(Ok(messages)) => messages,
             Some(Err(error)) => {
@@ -111,44 +115,46 @@
 }
 
 fn answer<S: Store>(
-    ask: Ask,
+    ask: EntryRequest,
     office: &Arc<Office>,
     entry: &Arc<Entry<S>>,
-    outbox: &Outbox<Answer>,
+    outbox: &Outbox<OwnerReply>,
     peer: &str,
 ) {
     match ask {
         // Without a valid lease another owner may know better.
-        Ask::State { .. } | Ask::Waiting { .. }
+        EntryRequest::State { .. } | EntryRequest::Waiting { .. }
             if !office.read(|owner, now| owner.is_valid(now)) => {}
-        Ask::Ping => {
+        EntryRequest::Ping => {
             let is_valid = office.read(|owner, now| owner.is_valid(now));
-            send(outbox, Answer::Pong { entries: office.entries(), is_valid }, peer);
+            send(outbox, OwnerReply::Pong { entries: office.entries(), is_valid }, peer);
         }
-        Ask::State { query, job } => {
+        EntryRequest::State { query, job } => {
             let state = office.read(|owner, _| owner.phase(job));
-            send(outbox, Answer::State { query, state }, peer);
+            send(outbox, OwnerReply::State { query, state }, peer);
         }
-        Ask::Waiting { query, queue } => {
+        EntryRequest::Waiting { query, queue } => {
             let count = Some(office.read(|owner, _| owner.waiting(&queue)));
-            send(outbox, Answer::Waiting { query, count }, peer);
+            send(outbox, OwnerReply::Waiting { query, count }, peer);
         }
-        Ask::Submit { query, .. } | Ask::Cancel { query, .. } if entry.is_dark() => {
-            send(outbox, Answer::Stored { query, outcome: Stored::No }, peer);
+        EntryRequest::Submit { query, .. } | EntryRequest::Cancel { query, .. }
+            if entry.is_dark() =>
+        {
+            send(outbox, OwnerReply::Stored { query, outcome: Stored::No }, peer);
         }
-        Ask::Submit { query, job, record } => {
+        EntryRequest::Submit { query, job, record } => {
             let (entry, outbox, peer) = (entry.clone(), outbox.clone(), peer.to_owned());
             runtime::spawn(async move {
                 let outcome = entry.store_job(job, record).await;
-                send(&outbox, Answer::Stored { query, outcome }, &peer);
+                send(&outbox, OwnerReply::Stored { query, outcome }, &peer);
             })
             .detach();
         }
-        Ask::Cancel { query, job } => {
+        EntryRequest::Cancel { query, job } => {
             let (entry, outbox, peer) = (entry.clone(), outbox.clone(), peer.to_owned());
             runtime::spawn(async move {
                 let outcome = entry.store_cancel(job).await;
-                send(&outbox, Answer::Stored { query, outcome }, &peer);
+                send(&outbox, OwnerReply::Stored { query, outcome }, &peer);
             })
             .detach();
         }
