--- a/crates/core/src/flow.rs
+++ b/crates/core/src/flow.rs
@@ -1,5 +1,18 @@
-//! Jobs made of steps: acceptance, order, placement and recovery by one owner, and the agent that
-//! carries out the owner's orders on one worker.
+//! Scheduling of multi-step jobs. One owner process accepts jobs, orders and places their tasks, and
+//! takes over from a failed owner. One agent per worker carries out the owner's orders.
+//!
+//! Terms used throughout the module:
+//!
+//! - A *run* is one attempt to execute a task; an *end* is the worker's report that a run is over.
+//! - A *permission* is the time-limited grant under which a worker may run tasks. The owner renews
+//!   it, and a worker stops all its tasks when it expires.
+//! - An *incarnation* is the lifetime of one worker process, with its own worker ID.
+//! - A *long-running* task runs until its job is cancelled. A *serving* task is a long-running task
+//!   with a target for its tail latency.
+//! - A *best-effort* task reserves no CPU and runs on what other tasks leave idle. Its *pace* is the
+//!   CPU it may use, in percent of what it requests.
+//! - *Interference* is the rise of a serving task's tail latency caused by best-effort tasks on the
+//!   same worker.
 
 pub mod interference;
 pub mod message;
--- a/crates/core/src/flow/message.rs
+++ b/crates/core/src/flow/message.rs
@@ -1,4 +1,4 @@
-//! Messages between the owner, the agents and the other entries.
+//! Messages between the owner, the agents and the other entry processes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,19 +10,20 @@
 use super::progress::Phase;
 use crate::resources::Resources;
 
-/// Number of an end in one life of a worker.
+/// Sequence number of an end within one incarnation of a worker.
 pub type EndNumber = u64;
-/// Learned weights are sent as whole multiples of one over this.
+/// Factor by which interference weights are multiplied to send them as integers.
 pub const WEIGHT_SCALE: f64 = 1_000.0;
-/// Number that stands for what a task runs.
+/// Hash of the name of the program that a task runs.
 pub type Image = u32;
-/// Order authority at a worker: owner's epoch, session, and step within the session.
+/// Fencing token of an order: the owner's epoch, the session, and a counter within the session. A
+/// worker refuses orders with a lower token than the highest it has received.
 pub type Token = u64;
 
 const SESSION_SHIFT: u32 = 12;
 const EPOCH_SHIFT: u32 = 32;
 
-/// Builds the first token of a session.
+/// Returns the lowest token of a session.
 pub fn session_token(epoch: u32, session: u32) -> Token {
     (u64::from(epoch) << EPOCH_SHIFT) | (u64::from(session) << SESSION_SHIFT)
 }
@@ -31,70 +32,74 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndKind {
     Done,
-    /// By its own or the worker's fault.
+    /// The task or the worker failed.
     Failed,
     Stopped,
-    /// Its permission had run out.
+    /// The worker's permission expired.
     Lapsed,
-    /// Another member of its gang ended.
+    /// Another task of the same gang ended.
     Broken,
-    /// Its gang was not complete in time.
+    /// The other tasks of the gang did not start in time.
     Alone,
 }
 
-/// An end that a worker lists until it is acknowledged.
+/// The end of a run. A worker lists each end until it is acknowledged.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct End {
     pub number: EndNumber,
     pub task: TaskId,
     pub run: Run,
     pub kind: EndKind,
-    /// Newest checkpoint; empty: none.
-    pub saved: String,
+    /// Newest checkpoint; empty if there is none.
+    pub checkpoint: String,
 }
 
-/// A run that a worker lists.
+/// A run that is in progress on a worker.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Running {
     pub task: TaskId,
     pub run: Run,
-    pub saved: String,
+    /// Newest checkpoint; empty if there is none.
+    pub checkpoint: String,
+    /// Progress in percent; 100 for a long-running task that is ready.
     pub percent: u32,
-    /// Tail latency in ms of a serving task, otherwise thousandths of a core.
+    /// Tail latency in ms for a serving task, otherwise CPU usage in thousandths of a core.
     pub load: u64,
 }
 
-/// A worker in one life.
+/// Description of one incarnation of a worker.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerInfo {
-    /// New in each life.
+    /// Unique for each incarnation.
     pub id: String,
     pub service: String,
     pub zone: String,
     pub capacity: Resources,
-    /// Kind and rack.
+    /// Machine kind, then rack.
     pub labels: Vec<String>,
     pub draining: bool,
-    /// Shortest time that a draining worker has left.
+    /// Minimum time until a draining worker exits.
     pub remaining: Option<Duration>,
 }
 
-/// What an agent needs to know of a task to pace it and to judge its progress.
+/// Properties of a task that its agent uses to set its pace and to detect stalls.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskTraits {
     pub long_running: bool,
     pub best_effort: bool,
+    /// Target for the tail latency; 0 if there is none.
     pub target_ms: u32,
+    /// Requested CPU in thousandths of a core.
     pub cpu_milli: u64,
     pub image: Image,
 }
 
-/// What changed on a worker between two looks.
+/// Changes on a worker between two successive listings.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sample {
-    /// Mean rise of the logarithm of the tail by serving image, in thousandths.
+    /// Mean change of the natural logarithm of the tail latency by serving image, in thousandths.
     pub rises: Vec<(Image, i32)>,
-    /// Change of the processors in use by fill image, in thousandths of a core.
+    /// Change of CPU usage by best-effort image, in thousandths of a core.
     pub changes: Vec<(Image, i32)>,
 }
 
@@ -107,16 +112,16 @@
     pub checkpoint: String,
     pub ticket: String,
     pub traits: TaskTraits,
-    /// Learned weights of the task's image beside the serving images of the worker.
+    /// Interference weights of the task's image on each serving image of the worker.
     pub weights: Vec<(Image, u32)>,
 }
 
-/// How the tasks that serve on a worker fare beside those that fill.
+/// Load on a worker: throttling of best-effort tasks and tail latency of serving tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pressure {
-    /// Processors that fill tasks may use, in percent of what they ask for.
+    /// CPU that best-effort tasks may use, in percent of what they request.
     pub level: u32,
-    /// Highest tail latency, in percent of its target.
+    /// Highest tail latency of a serving task, in percent of its target.
     pub tail_percent: u32,
 }
 
@@ -126,10 +131,11 @@
     }
 }
 
-/// From an agent to the owner.
+/// Message from an agent to the owner.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AgentMessage {
-    /// The worker's state after it has refused all older orders. `None`: no worker runs here.
+    /// The worker's state, listed after it began to refuse the orders of older sessions. `worker` is
+    /// `None` if no worker runs on the node.
     Attach {
         worker: Option<WorkerInfo>,
         running: Vec<Running>,
@@ -139,49 +145,51 @@
         worker: String,
         ends: Vec<End>,
     },
-    /// The start was not carried out and never will be.
+    /// The start was not carried out and will not be carried out later.
     NotStarted {
         task: TaskId,
         run: Run,
         reason: String,
     },
-    /// The worker is leaving.
+    /// The worker is shutting down; `remaining` is the minimum time until it exits.
     Draining {
         worker: String,
         remaining: Option<Duration>,
     },
-    /// The worker has ended, with all that ran on it.
+    /// The worker process has exited, and all its runs with it.
     Gone {
         worker: String,
     },
-    /// Newest checkpoints of what runs.
-    Saved {
+    /// Newest checkpoints of runs in progress.
+    Checkpoints {
         rows: Vec<(TaskId, Run, String)>,
     },
-    /// The task makes no progress.
+    /// The run makes no progress.
     Stalled {
         task: TaskId,
         run: Run,
     },
-    /// Asks for permission to go on; `sent` is the agent's clock and comes back unchanged.
+    /// Asks to renew the permission; `sent` is the agent's clock and is echoed in the answer.
     Ping {
         sent: Duration,
         pressure: Pressure,
         samples: Vec<Sample>,
-        /// Expected tails without fill tasks by serving image, in percent of the target.
+        /// Estimated tail latency without best-effort tasks by serving image, in percent of the
+        /// target.
         baselines: Vec<(Image, u32)>,
     },
 }
 
-/// From the owner to an agent.
+/// Message from the owner to an agent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OwnerMessage {
+    /// Opens a session.
     Welcome {
         token: Token,
-        /// Other entries to ask when this one is lost.
+        /// Other entries to connect to when this one fails.
         entries: Vec<SocketAddr>,
     },
-    /// Another process owns the work, or nobody that is known here.
+    /// This process is not the owner; `owner` is `None` if the owner is not known.
     Redirect {
         owner: Option<SocketAddr>,
     },
@@ -190,26 +198,28 @@
         task: TaskId,
         run: Run,
     },
-    /// Ends up to this number are durable.
+    /// Acknowledges that ends up to `number` are durable.
     Seen {
         worker: String,
         number: EndNumber,
     },
+    /// Properties of tasks that already ran when the session began.
     Traits {
         rows: Vec<(TaskId, TaskTraits)>,
     },
-    /// Permission until `sent` plus `permission`. None while the owner cannot renew its lease: the
-    /// agent looks whether there is another owner, and stays if not.
+    /// Extends the permission to `sent` plus `permission`. `permission` is zero while the owner cannot
+    /// renew its lease: the agent then checks for another owner and stays connected if there is
+    /// none.
     Pong {
         sent: Duration,
         permission: Duration,
         entries: Vec<SocketAddr>,
-        /// Learned weights by serving and fill image.
+        /// Interference weights by serving and best-effort image.
         weights: Vec<(Image, Image, u32)>,
     },
 }
 
-/// From an entry to the owner.
+/// Request from an entry process to the owner.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EntryRequest {
     State {
@@ -220,7 +230,7 @@
         query: u64,
         queue: String,
     },
-    /// Stores a job for an entry that the store turns away. `record` is its stored form.
+    /// Stores a job on behalf of an entry that cannot write to the store. `record` is the encoded job.
     Submit {
         query: u64,
         job: JobNumber,
@@ -233,9 +243,10 @@
     Ping,
 }
 
-/// From the owner to an entry.
+/// Reply from the owner to an entry process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OwnerReply {
+    /// This process is not the owner; `owner` is `None` if the owner is not known.
     Redirect {
         owner: Option<SocketAddr>,
     },
@@ -251,27 +262,27 @@
         query: u64,
         outcome: Stored,
     },
-    /// `is_valid`: whether the owner's lease is renewed.
+    /// `is_valid` tells whether the owner holds a valid lease.
     Pong {
         entries: Vec<SocketAddr>,
         is_valid: bool,
     },
 }
 
-/// Outcome of storing a job or a cancel.
+/// Outcome of storing a job or a cancellation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Stored {
-    /// It lasts, or did before.
+    /// The record is durable, from this request or an earlier one.
     Yes,
-    /// Nothing was stored and nothing will be.
+    /// Nothing was stored and nothing will be stored later.
     No,
-    /// There is no such job.
+    /// The job does not exist.
     Unknown,
-    /// It may or may not be stored.
+    /// The record may or may not be stored.
     Unclear,
 }
 
-/// First bytes on an internal connection: who connects.
+/// First message on an internal connection; identifies the client.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Greeting {
     Agent { node: String },
--- a/crates/core/src/flow/model.rs
+++ b/crates/core/src/flow/model.rs
@@ -1,4 +1,4 @@
-//! What callers ask for.
+//! Specification of jobs as submitted by callers.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,17 +9,19 @@
 
 /// Number of a job; callers write it as 16 hexadecimal digits.
 pub type JobNumber = u64;
-/// Number of a start of a task. Rises with each start.
+/// Number of a run of a task; increases with each start.
 pub type Run = u32;
-/// Due time of an occurrence, in milliseconds since 1970.
+/// Wall-clock time in milliseconds since the Unix epoch.
 pub type WallMs = u64;
 
-/// Names one task.
+/// Identifies one task of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TaskId {
     pub job: JobNumber,
+    /// Occurrence of a periodic job; 0 for other jobs.
     pub occurrence: u32,
     pub step: u16,
+    /// Index of the task within its step.
     pub index: u32,
 }
 
@@ -47,7 +49,7 @@
     }
 }
 
-/// Reads the number of a job: 16 lower-case hexadecimal digits.
+/// Parses a job number: 16 lower-case hexadecimal digits.
 pub fn parse_job(text: &str) -> Option<JobNumber> {
     let is_digit = |byte: u8| matches!(byte, b'0'..=b'9' | b'a'..=b'f');
     (text.len() == 16 && text.bytes().all(is_digit))
@@ -55,63 +57,66 @@
         .flatten()
 }
 
-/// Who must be asked which workers may run a step.
+/// Policy for asking an external advisor which workers may run a step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdvicePolicy {
+    /// How long an answer stays valid, in milliseconds.
     pub valid_ms: u64,
 }
 
-/// The queue a job was submitted to, as configured at that moment.
+/// Queue of a job, as configured when the job was submitted.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Queue {
-    /// Host and prefix.
+    /// Host and path prefix.
     pub name: String,
     pub service: String,
-    /// 0 comes first.
+    /// 0 is the highest priority.
     pub priority: u8,
-    /// Failures of one task after which the job fails.
+    /// Number of failures of one task after which the job fails.
     pub attempts: u32,
-    /// Objective: `stretch` times the longest chain, and `slack_ms` more.
+    /// A job's completion objective is `stretch` times its critical path plus `slack_ms`.
     pub stretch: f64,
     pub slack_ms: u64,
     pub advice: Option<AdvicePolicy>,
 }
 
-/// Tasks that are alike.
+/// A step of a job: `count` identical tasks.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Step {
     pub count: u32,
+    /// Resources that one task requests.
     pub need: Resources,
-    /// Rough duration of one task.
+    /// Estimated duration of one task, in milliseconds.
     pub estimate_ms: u64,
-    /// Steps that must be done before.
+    /// Indices of the steps that must be done first.
     pub after: Vec<u16>,
-    /// Whether tasks save their progress.
+    /// Whether tasks write checkpoints.
     pub has_checkpoints: bool,
-    /// Whether tasks run only all together.
+    /// Whether all tasks must run at the same time.
     pub gang: bool,
-    /// Whether tasks are slowed when they run on more than one rack.
+    /// Whether tasks slow down when spread over several racks.
     pub same_rack: bool,
-    /// Label the worker must have.
+    /// Label that the worker must have.
     pub required_label: Option<String>,
-    /// Rack of the data.
+    /// Rack that stores the tasks' data.
     pub preferred_rack: Option<String>,
-    /// At most this many tasks on one worker; 0: no limit.
+    /// Maximum number of tasks on one worker; 0 for no limit.
     pub per_worker: u32,
     /// Whether tasks run until the job is cancelled.
     pub long_running: bool,
-    /// What the tasks run; tasks of one image behave alike.
+    /// Name of the program that the tasks run. Tasks with the same image are taken to cause and
+    /// suffer the same interference.
     pub image: String,
-    /// Tail latency below which a lasting task must stay; 0: none.
+    /// Target for the tail latency of a long-running task, in milliseconds; 0 for none.
     pub target_ms: u32,
-    /// Whether tasks take only processors that others leave unused.
+    /// Whether tasks reserve no CPU and run on what other tasks leave idle.
     pub best_effort: bool,
-    /// Lasting tasks that may be away at a time by our doing.
+    /// Maximum number of long-running tasks that the scheduler may take down at the same time.
     pub max_unavailable: u32,
 }
 
 impl Step {
-    /// Returns what a task reserves on its worker.
+    /// Returns the resources that one task reserves on its worker.
     pub fn reserved(&self) -> Resources {
         match self.best_effort {
             true => Resources { cpu_milli: 0, ..self.need },
@@ -120,11 +125,13 @@
     }
 }
 
-/// When the steps of a job run.
+/// Schedule of a periodic job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Timetable {
+    /// Due time of the first occurrence.
     pub first: WallMs,
     pub interval_ms: u64,
+    /// Number of occurrences.
     pub times: u32,
 }
 
@@ -136,19 +143,19 @@
     pub command: String,
     pub steps: Vec<Step>,
     pub timetable: Option<Timetable>,
-    /// Time of day at submission, by the entry's clock.
+    /// Time of submission by the clock of the entry process.
     pub submitted: WallMs,
 }
 
-/// Largest accepted number of tasks of one job, in one occurrence.
+/// Maximum number of tasks in one occurrence of a job.
 const MAX_TASKS: u64 = 100_000;
 
 impl JobSpec {
-    /// Checks what the steps refer to.
+    /// Validates the steps: task counts and references to earlier steps.
     ///
     /// # Errors
     ///
-    /// Names the first field that is wrong.
+    /// Returns a description of the first invalid field.
     pub fn check(&self) -> Result<(), String> {
         if self.steps.is_empty() {
             return Err("a job needs at least one step".to_owned());
@@ -168,7 +175,7 @@
         Ok(())
     }
 
-    /// Returns the duration of the longest chain of steps, in milliseconds.
+    /// Returns the estimated duration of the critical path through the steps, in milliseconds.
     pub fn chain_ms(&self) -> u64 {
         let mut ends: Vec<u64> = Vec::with_capacity(self.steps.len());
         for step in &self.steps {
--- a/crates/core/src/flow/node.rs
+++ b/crates/core/src/flow/node.rs
@@ -1,7 +1,9 @@
-//! The agent beside one worker: carries out the owner's orders, and keeps the worker's permission.
+//! State machine of an agent, which carries out the owner's orders on one worker and renews the
+//! worker's permission to run tasks.
 //!
-//! One session is obeyed at a time. It begins by raising the token that the worker has seen, so
-//! that orders of older sessions which are still on their way are refused, and then lists what runs.
+//! An agent has one session with the owner at a time. It begins a session by sending the worker a
+//! higher fencing token, so that the worker refuses delayed orders of older sessions, and then
+//! lists the worker's runs.
 
 mod listing;
 mod pacing;
@@ -18,26 +20,30 @@
 use super::sampler::Sampler;
 use crate::time::Time;
 
-/// Slowest rate of a worker's clock.
+/// Lower bound on the rate of a worker's clock relative to the agent's.
 const CLOCK_RATE_PERCENT: u32 = 98;
-/// Time between two requests for permission.
+/// Interval between requests to renew the permission.
 const PING_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Time after a listing with unacknowledged ends at which the worker is looked at again.
+/// Delay before the next listing while the worker has unacknowledged ends.
 const UNACKED_DELAY: Duration = Duration::from_millis(60);
+/// Delay before a failed listing is retried; stops are retried after three times as long.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
-/// Longest wait of a look, so that permission is renewed and checkpoints are read.
+/// Long-poll timeout of a listing; bounds the age of the worker's permission and of checkpoints.
 const MAX_LIST_WAIT: Duration = Duration::from_millis(1_000);
-/// Wait of a look while tails have to be followed.
+/// Long-poll timeout of a listing while best-effort tasks run beside serving tasks.
 const PACING_LIST_WAIT: Duration = Duration::from_millis(450);
+/// Interval between reports of checkpoints to the owner.
 const CHECKPOINT_INTERVAL: Duration = Duration::from_secs(1);
-/// Refused connections in a row that prove that the worker's process has ended.
+/// Number of consecutive refused connections after which the worker process is taken as dead.
 const MAX_REFUSALS: u32 = 2;
+/// Maximum time between two calls of [`AgentState::poll`].
 const MAX_POLL_DELAY: Duration = Duration::from_millis(500);
 
-/// A call to the worker.
+/// A request to the worker.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Call {
-    /// Renews the permission and lists runs and ends.
+    /// Lists runs and ends, acknowledges ends up to `acknowledged`, and renews the permission until
+    /// `deadline` by the worker's clock in milliseconds.
     List {
         worker: String,
         token: Token,
@@ -45,6 +51,7 @@
         deadline: Option<u64>,
         wait: Duration,
     },
+    /// Starts a task, unless it arrives after `deadline` by the worker's clock.
     Start {
         worker: String,
         token: Token,
@@ -57,6 +64,7 @@
         task: TaskId,
         run: Run,
     },
+    /// Limits the CPU of a best-effort task to `percent` of its request.
     Pace {
         worker: String,
         token: Token,
@@ -66,98 +74,118 @@
     },
 }
 
-/// Outcome of a call that is not a listing.
+/// Outcome of a call other than a successful listing.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
     Done,
-    /// The worker refused, and will not do it later.
+    /// The worker refused the call and will not carry it out later.
     Refused(String),
-    /// The worker has seen a higher token.
+    /// The worker has received a higher token.
     OldToken,
-    /// Another life answers at the address.
+    /// Another incarnation of the worker answers at the address.
     OtherLife,
-    /// Nothing listens at the address.
+    /// The connection was refused.
     NotThere,
-    /// It may be done, now or later.
+    /// The call may have been carried out, or may be carried out later.
     Unclear,
 }
 
-/// What the shell does for the agent.
+/// Side effect that the caller of the state machine has to perform.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     Call(Call),
     Send(AgentMessage),
     Log(Decision),
-    /// Ends the session: the worker obeys a later one.
+    /// Ends the session, because the worker obeys a newer one.
     Reconnect,
 }
 
+/// State of a run as far as the agent knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum RunState {
+    /// The start was sent and not answered yet.
     Starting,
     Running,
-    /// The answer was lost; a listing under a token of at least this value tells.
+    /// The answer to the start was lost. A listing with at least this token shows whether the run
+    /// exists.
     Doubtful(Token),
 }
 
+/// A run that the owner ordered or the worker listed.
 #[derive(Debug, Clone)]
 struct LocalRun {
     run: Run,
     state: RunState,
     traits: TaskTraits,
-    /// When the start was answered.
-    since: Time,
+    /// When the start was answered or the run was first listed.
+    started_at: Time,
+    /// Whether the owner ordered a stop.
     must_stop: bool,
+    /// When the last stop was sent to the worker.
     stop_sent: Option<Time>,
+    /// Progress in the last listing.
     percent: u32,
+    /// When the run last made progress, or was not expected to.
     progress_at: Time,
-    saved: String,
+    checkpoint: String,
+    /// Whether the owner has been sent the newest checkpoint.
     checkpoint_sent: bool,
+    /// CPU limit in force, in percent of the request; `u32::MAX` if it is not known.
     pace: u32,
     stall_reported: bool,
 }
 
+/// The worker that the agent manages.
 #[derive(Debug)]
 struct Worker {
     info: WorkerInfo,
+    /// Sequence number of the last heartbeat.
     heartbeat: u64,
-    /// Its clock at the end of the last exchange, and when that was.
+    /// The worker's clock in milliseconds in the last listing, and the agent's time when it arrived.
     clock: Option<(u64, Time)>,
+    /// Highest end that the owner has acknowledged.
     acknowledged: EndNumber,
+    /// Highest end that was sent to the owner.
     forwarded: EndNumber,
+    /// Consecutive refused connections.
     refusals: u32,
 }
 
+/// A session with the owner.
 #[derive(Debug)]
 struct Session {
     token: Token,
+    /// Whether the worker's state has been sent to the owner in this session.
     is_attached: bool,
 }
 
-/// The agent.
+/// State of the agent.
 #[derive(Debug, Default)]
 pub struct AgentState {
     worker: Option<Worker>,
-    /// A worker that has reported but not answered yet.
+    /// A worker that has sent a heartbeat but has not answered a listing yet, and the sequence number
+    /// of the heartbeat.
     candidate: Option<(WorkerInfo, u64)>,
-    /// The last known worker has certainly ended.
+    /// Whether the last worker is known to have exited.
     worker_ended: bool,
     session: Option<Session>,
     runs: BTreeMap<TaskId, LocalRun>,
+    /// When the permission from the owner expires.
     permission_until: Time,
+    /// Token and start of the listing in flight.
     listing: Option<(Token, Time)>,
     next_list: Time,
     next_ping: Time,
     next_checkpoint_report: Time,
     pacer: Pacer,
     sampler: Sampler,
-    /// What the gauge has told since the last request for permission.
+    /// Samples collected since the last ping.
     samples: Vec<Sample>,
     actions: Vec<Action>,
 }
 
 impl AgentState {
-    /// Returns what the shell has to do.
+    /// Takes the side effects that the caller has to perform.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
@@ -166,7 +194,7 @@
         self.actions.push(Action::Log(Decision { event, job: None, detail }));
     }
 
-    /// Takes a report of a worker about itself; `sequence` rises with each report of one life.
+    /// Handles a heartbeat of a worker. `sequence` increases with each heartbeat of an incarnation.
     pub fn heartbeat(&mut self, now: Time, info: WorkerInfo, sequence: u64) {
         match &mut self.worker {
             Some(worker) if worker.info.id == info.id => {
@@ -198,7 +226,7 @@
         self.poll(now);
     }
 
-    /// Takes the sign-off of a worker.
+    /// Handles the deregistration of a worker that exits.
     pub fn deregister(&mut self, now: Time, id: &str) {
         if self.worker.as_ref().is_some_and(|worker| worker.info.id == id) {
             self.lose_worker("signed off");
@@ -209,8 +237,7 @@
         self.poll(now);
     }
 
-    /// Tells whether the worker can be given a report's acknowledgement: the owner knows of it, or
-    /// nobody owns the work.
+    /// Tells whether the worker's state has been sent to the owner in this session.
     pub fn is_attached(&self) -> bool {
         self.session.as_ref().is_some_and(|session| session.is_attached)
     }
@@ -229,13 +256,13 @@
         }
     }
 
-    /// The connection to the owner has ended.
+    /// Handles the loss of the connection to the owner.
     pub fn disconnected(&mut self) {
         self.session = None;
         self.listing = None;
     }
 
-    /// Takes a message of the owner.
+    /// Handles a message from the owner.
     pub fn receive(&mut self, now: Time, message: OwnerMessage) {
         match message {
             OwnerMessage::Welcome { token, .. } => {
@@ -243,7 +270,7 @@
                 self.listing = None;
                 self.next_list = now;
                 self.next_ping = now;
-                // Starts of the older session are refused from now on or listed.
+                // From now on the worker either lists a start of the older session or refuses it.
                 for run in self.runs.values_mut() {
                     if run.state != RunState::Running {
                         run.state = RunState::Doubtful(token);
@@ -278,7 +305,8 @@
         self.poll(now);
     }
 
-    /// Worker's clock value by which a permission that ends at `until` has surely run out.
+    /// Returns the time on the worker's clock at which a permission until `until` expires. The
+    /// result is early enough for a worker whose clock runs slow.
     fn worker_deadline(&self, until: Time) -> Option<u64> {
         let (clock, at) = self.worker.as_ref()?.clock?;
         let left = until.checked_sub(at)? * CLOCK_RATE_PERCENT / 100;
@@ -303,12 +331,12 @@
             run,
             state: RunState::Starting,
             traits: start.traits,
-            since: now,
+            started_at: now,
             must_stop: false,
             stop_sent: None,
             percent: 0,
             progress_at: now,
-            saved: start.checkpoint.clone(),
+            checkpoint: start.checkpoint.clone(),
             checkpoint_sent: true,
             pace: 100,
             stall_reported: false,
@@ -353,7 +381,7 @@
         }
     }
 
-    /// Takes the outcome of a start.
+    /// Handles the outcome of a start call.
     pub fn started(&mut self, now: Time, worker: &str, task: TaskId, run: Run, outcome: Outcome) {
         if self.worker.as_ref().is_none_or(|known| known.info.id != worker) {
             return;
@@ -362,7 +390,7 @@
         match outcome {
             Outcome::Done => {
                 known.state = RunState::Running;
-                known.since = now;
+                known.started_at = now;
                 known.progress_at = now;
                 if known.traits.best_effort {
                     let traits = known.traits;
@@ -377,7 +405,7 @@
             Outcome::NotThere => self.not_started(task, run, "connection refused"),
             Outcome::Unclear => {
                 let Some(session) = &mut self.session else { return };
-                // A higher token makes the worker refuse the start if it comes later.
+                // A higher token makes the worker refuse the start if it arrives later.
                 session.token += 1;
                 known.state = RunState::Doubtful(session.token);
                 self.listing = None;
@@ -389,15 +417,15 @@
         self.poll(now);
     }
 
-    /// Takes the outcome of a stop or a pace that was not carried out.
+    /// Handles the failure of a stop or pace call.
     pub fn order_failed(&mut self, task: TaskId) {
         if let Some(run) = self.runs.get_mut(&task) {
-            // Any value makes the level of the next look differ.
+            // An out-of-range value makes the next listing send the pace again.
             run.pace = u32::MAX;
         }
     }
 
-    /// Takes the outcome of a look that brought no listing.
+    /// Handles a failed listing.
     pub fn list_failed(&mut self, now: Time, worker: &str, token: Token, outcome: &Outcome) {
         self.listing = self.listing.filter(|(listing, _)| *listing != token);
         self.next_list = now + RETRY_DELAY;
@@ -426,7 +454,7 @@
         self.poll(now);
     }
 
-    /// Performs what is due.
+    /// Performs all actions that are due.
     pub fn poll(&mut self, now: Time) {
         let Some(session) = &self.session else { return };
         let (token, is_attached) = (session.token, session.is_attached);
@@ -443,7 +471,7 @@
             }));
         }
         if self.worker_ended && self.worker.is_none() && !is_attached && self.candidate.is_none() {
-            // Nothing of the last worker can run any more.
+            // The last worker has exited, so none of its tasks still run.
             if let Some(session) = &mut self.session {
                 session.is_attached = true;
             }
@@ -456,10 +484,10 @@
             let mut rows = Vec::new();
             for (task, run) in self.runs.iter_mut().filter(|(_, run)| !run.checkpoint_sent) {
                 run.checkpoint_sent = true;
-                rows.push((*task, run.run, run.saved.clone()));
+                rows.push((*task, run.run, run.checkpoint.clone()));
             }
             if !rows.is_empty() {
-                self.actions.push(Action::Send(AgentMessage::Saved { rows }));
+                self.actions.push(Action::Send(AgentMessage::Checkpoints { rows }));
             }
         }
         self.send_stops(now);
@@ -492,7 +520,7 @@
         self.actions.push(Action::Call(Call::List { worker, token, acknowledged, deadline, wait }));
     }
 
-    /// Time until the next call of [`Node::poll`] is due, without further input.
+    /// Returns the time until the next call of [`AgentState::poll`], if no event comes first.
     pub fn next_poll(&self, now: Time) -> Duration {
         if self.session.is_none() {
             return MAX_POLL_DELAY;
--- a/crates/core/src/flow/node/listing.rs
+++ b/crates/core/src/flow/node/listing.rs
@@ -1,4 +1,4 @@
-//! What a worker lists: the runs and ends that its agent knows follow it.
+//! Handling of listings: updates the agent's table of runs and forwards ends to the owner.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,13 +8,13 @@
 use crate::flow::model::TaskId;
 use crate::time::Time;
 
-/// Time without progress after which a task is reported as stalled.
+/// Time without progress after which a run is reported as stalled.
 const STALL_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Pace in percent below which a task is not expected to show progress.
+/// Pace in percent below which a best-effort task is not expected to show progress.
 const MIN_STALL_PACE: u32 = 50;
 
 impl AgentState {
-    /// Takes a listing, with the worker's clock.
+    /// Handles a listing; `clock` is the worker's clock in milliseconds.
     pub fn listed(
         &mut self,
         now: Time,
@@ -57,6 +57,7 @@
         self.poll(now);
     }
 
+    /// Makes the candidate the current worker if it is the one that answered.
     fn adopt_worker(&mut self, id: &str) {
         let is_candidate = self.candidate.as_ref().is_some_and(|(info, _)| info.id == id);
         match self.candidate.take() {
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Reports everything to the owner.
+    /// Sends the full state of the worker to the owner, which completes the start of the session.
     fn attach(&mut self, now: Time, running: Vec<Running>, ends: Vec<End>) {
         let Some(worker) = &mut self.worker else { return };
         worker.forwarded =
@@ -93,12 +94,12 @@
                 run: row.run,
                 state: RunState::Running,
                 traits: old.as_ref().map(|run| run.traits).unwrap_or_default(),
-                since: now,
+                started_at: now,
                 must_stop: false,
                 stop_sent: None,
                 percent: row.percent,
                 progress_at: now,
-                saved: row.saved.clone(),
+                checkpoint: row.checkpoint.clone(),
                 checkpoint_sent: true,
                 pace: old.map_or(u32::MAX, |run| run.pace),
                 stall_reported: false,
@@ -115,7 +116,7 @@
         self.next_list = now + UNACKED_DELAY;
     }
 
-    /// Brings the local table in line with a listing.
+    /// Reconciles the table of runs with a listing; reports stalled runs and lost starts.
     fn reconcile(&mut self, now: Time, token: Token, running: &[Running]) {
         let answered_before = now.saturating_sub(MAX_LIST_WAIT * 2);
         let mut missing = Vec::new();
@@ -131,8 +132,8 @@
                         run.percent = row.percent;
                         run.progress_at = now;
                     }
-                    if row.saved != run.saved {
-                        run.saved = row.saved.clone();
+                    if row.checkpoint != run.checkpoint {
+                        run.checkpoint = row.checkpoint.clone();
                         run.checkpoint_sent = false;
                     }
                     let is_working = if run.traits.long_running {
@@ -153,7 +154,7 @@
                     RunState::Doubtful(needed) if token >= needed => {
                         missing.push((*task, run.run, "lost order"));
                     }
-                    RunState::Running if run.since < answered_before => {
+                    RunState::Running if run.started_at < answered_before => {
                         missing.push((*task, run.run, "not listed"));
                     }
                     _ => {}
--- a/crates/core/src/flow/node/pacing.rs
+++ b/crates/core/src/flow/node/pacing.rs
@@ -1,4 +1,4 @@
-//! Paces of fill tasks, from the figures of a listing.
+//! Pacing of best-effort tasks, based on the CPU usage and tail latencies in a listing.
 
 use super::{Action, AgentState, Call, RunState};
 use crate::flow::message::{Pressure, Running, TaskTraits};
@@ -6,13 +6,14 @@
 use crate::flow::pace::{BestEffortTask, ServingTask};
 use crate::time::Time;
 
-/// Change of a pace, in percent, that is worth a call.
+/// Minimum change of a pace that is sent to the worker, in percentage points; 0 and 100 are always
+/// sent.
 const MIN_PACE_CHANGE: u32 = 5;
-/// Change of the level, in percent, that is worth a log line.
+/// Minimum change of the pressure level that is logged, in percentage points.
 const LOGGED_LEVEL_CHANGE: u32 = 20;
 
 impl AgentState {
-    /// Follows the figures of a listing.
+    /// Computes and sends the paces of best-effort tasks from a listing.
     pub(super) fn pace(&mut self, now: Time, running: &[Running]) {
         let task_of = |row: &Running| Some((row.task, self.runs.get(&row.task)?.traits));
         let mut serving = Vec::new();
@@ -41,12 +42,12 @@
         self.send_paces(&paces);
     }
 
-    /// Processors of the worker, in thousandths of a core.
+    /// Returns the CPU of the worker, in thousandths of a core.
     pub(super) fn capacity(&self) -> u64 {
         self.worker.as_ref().map_or(0, |worker| worker.info.capacity.cpu_milli)
     }
 
-    /// Orders paces that differ enough from those in force. A task starts at full pace.
+    /// Sends the paces that differ enough from those in force. A task starts at 100 percent.
     pub(super) fn send_paces(&mut self, paces: &[(TaskId, u32)]) {
         let Some(token) = self.session.as_ref().map(|session| session.token) else { return };
         let Some(worker) = self.worker.as_ref().map(|worker| worker.info.id.clone()) else {
--- a/crates/core/src/flow/owner.rs
+++ b/crates/core/src/flow/owner.rs
@@ -382,9 +382,9 @@
                     self.lose_worker(slot, "gone");
                 }
             }
-            AgentMessage::Saved { rows } => {
-                for (task, run, saved) in rows {
-                    self.save_checkpoint(task, run, saved);
+            AgentMessage::Checkpoints { rows } => {
+                for (task, run, checkpoint) in rows {
+                    self.save_checkpoint(task, run, checkpoint);
                 }
             }
             AgentMessage::Stalled { task, run } => self.stalled(now, slot, task, run),
@@ -449,7 +449,7 @@
         let spec = spec.clone();
         let step = &spec.steps[usize::from(task.step)];
         let key = if step.gang { 0 } else { task.index };
-        let checkpoint = state.saved.get(&key).cloned().unwrap_or_default();
+        let checkpoint = state.checkpoints.get(&key).cloned().unwrap_or_default();
         state.begin(task.index, Attempt { run, slot, is_stopping: false });
         self.reserve(slot, task, run, step);
         if let Some(job) = self.jobs.get_mut(&task.job) {
--- a/crates/core/src/flow/owner/ends.rs
+++ b/crates/core/src/flow/owner/ends.rs
@@ -36,7 +36,7 @@
 
     pub(super) fn finish_run(&mut self, now: Time, slot: Slot, end: &End) {
         let task = end.task;
-        self.save_checkpoint(task, end.run, end.saved.clone());
+        self.save_checkpoint(task, end.run, end.checkpoint.clone());
         self.placement_due |= self.nodes[slot].stale_runs.remove(&(task, end.run));
         let was_current = self.drop_run(&task, end.run).is_some();
         let Some((spec, state)) = self.step_mut(&task) else { return };
@@ -168,15 +168,15 @@
         }
     }
 
-    pub(super) fn save_checkpoint(&mut self, task: TaskId, run: Run, saved: String) {
-        if saved.is_empty() {
+    pub(super) fn save_checkpoint(&mut self, task: TaskId, run: Run, checkpoint: String) {
+        if checkpoint.is_empty() {
             return;
         }
         let Some((spec, state)) = self.step_mut(&task) else { return };
         let is_gang = spec.steps[usize::from(task.step)].gang;
-        let is_old = state.runs.get(&task.index).is_some_and(|last| run < *last);
+        let is_old = state.last_runs.get(&task.index).is_some_and(|last| run < *last);
         if !is_old && !state.done.contains(task.index) {
-            state.saved.insert(if is_gang { 0 } else { task.index }, saved);
+            state.checkpoints.insert(if is_gang { 0 } else { task.index }, checkpoint);
         }
     }
 
--- a/crates/core/src/flow/progress.rs
+++ b/crates/core/src/flow/progress.rs
@@ -1,4 +1,4 @@
-//! What lasts of a job: its phase, the tasks that are done and their failures.
+//! Durable state of a job: its phase, finished tasks and failures.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,7 +6,7 @@
 
 use super::model::Run;
 
-/// Where a job stands.
+/// Lifecycle phase of a job.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
     #[default]
@@ -18,12 +18,12 @@
 }
 
 impl Phase {
-    /// Tells whether nothing about the job can change any more.
+    /// Tells whether the job has ended.
     pub fn is_final(self) -> bool {
         matches!(self, Phase::Completed | Phase::Failed | Phase::Cancelled)
     }
 
-    /// Name for logs.
+    /// Returns the lower-case name for logs.
     pub fn name(self) -> &'static str {
         match self {
             Phase::Queued => "queued",
@@ -35,12 +35,12 @@
     }
 }
 
-/// A set of task indices.
+/// A set of task indices, stored as a bitmap.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IndexSet(Vec<u8>);
 
 impl IndexSet {
-    /// Adds an index; tells whether it was new.
+    /// Adds an index; returns whether the set did not contain it before.
     pub fn insert(&mut self, index: u32) -> bool {
         let (byte, bit) = (index as usize / 8, 1 << (index % 8));
         if self.0.len() <= byte {
@@ -51,37 +51,37 @@
         is_new
     }
 
-    /// Tells whether the index is in the set.
+    /// Tells whether the set contains an index.
     pub fn contains(&self, index: u32) -> bool {
         self.0.get(index as usize / 8).is_some_and(|byte| byte & (1 << (index % 8)) != 0)
     }
 
-    /// Number of indices.
+    /// Returns the number of indices in the set.
     pub fn len(&self) -> u32 {
         self.0.iter().map(|byte| byte.count_ones()).sum()
     }
 
-    /// Tells whether the set has no index.
+    /// Tells whether the set is empty.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 }
 
-/// Ends of the tasks of one step.
+/// Finished tasks and failures of one step.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepProgress {
     pub done: IndexSet,
-    /// Runs that failed, of tasks that are not done. Run numbers tell an end that a worker lists
-    /// again after a takeover from a new one.
+    /// Failed runs by index of tasks that are not done. The run numbers prevent a failure from being
+    /// counted twice when a worker lists its end again after a takeover.
     pub failures: BTreeMap<u32, BTreeSet<Run>>,
 }
 
-/// The record of a job.
+/// The stored progress record of a job.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Progress {
     pub phase: Phase,
-    /// By occurrence and step; a missing entry has no end yet.
+    /// Progress by occurrence and step; steps without any end have no entry.
     pub steps: BTreeMap<(u32, u16), StepProgress>,
-    /// Epoch of the owner at its end, and when it ended by the owner's time of day.
+    /// Owner's epoch and wall-clock time at the end of the job; no code sets or reads the field.
     pub ended_at: u64,
 }
--- a/crates/core/src/flow/recovery.rs
+++ b/crates/core/src/flow/recovery.rs
@@ -159,8 +159,10 @@
             }
             None => {}
         }
-        if !listed.saved.is_empty() {
-            state.saved.insert(if step.gang { 0 } else { task.index }, listed.saved.clone());
+        if !listed.checkpoint.is_empty() {
+            state
+                .checkpoints
+                .insert(if step.gang { 0 } else { task.index }, listed.checkpoint.clone());
         }
         state.begin(task.index, Attempt { run: listed.run, slot, is_stopping: false });
         self.reserve(slot, task, listed.run, &step);
--- a/crates/core/src/flow/routes.rs
+++ b/crates/core/src/flow/routes.rs
@@ -1,14 +1,14 @@
-//! Which queue a caller's request belongs to.
+//! Routing of requests to queues by host and path prefix.
 
 use std::collections::HashMap;
 
 use super::model::Queue;
 
-/// The queues of one configuration version.
+/// Routing table of one configuration version.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Routes {
     pub version: u64,
-    /// By host; the longest prefix first.
+    /// Prefixes and queues by host, longest prefix first.
     hosts: HashMap<String, Vec<(String, Queue)>>,
 }
 
@@ -25,7 +25,7 @@
         Routes { version, hosts }
     }
 
-    /// Returns the queue of a request, and what follows its prefix.
+    /// Returns the queue for a request and the part of the path after the prefix.
     pub fn find<'a>(&self, host: &str, path: &'a str) -> Option<(&Queue, &'a str)> {
         let prefixes = self.hosts.get(host)?;
         prefixes.iter().find_map(|(prefix, queue)| {
--- a/crates/core/src/flow/sampler.rs
+++ b/crates/core/src/flow/sampler.rs
@@ -1,4 +1,4 @@
-//! Changes of a worker's figures from one look to the next.
+//! Differences between successive listings of a worker, from which interference is learned.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,22 +8,26 @@
 use super::pace::{BestEffortTask, ServingTask};
 use crate::time::Time;
 
-/// Looks further apart than this are not compared: the serving tasks' own load has changed too.
+/// Maximum time between two listings that are compared. Over longer gaps the serving tasks' own
+/// load changes too.
 const MAX_GAP: Duration = Duration::from_millis(1_300);
-/// Change of the fill work, in thousandths of a core, that tells something beside rounding.
+/// Minimum change of best-effort CPU usage, in thousandths of a core; smaller changes may be
+/// rounding.
 const MIN_CPU_CHANGE: i64 = 100;
 
-/// Compares successive looks.
+/// Compares successive listings of one worker.
 #[derive(Debug, Default)]
 pub struct Sampler {
+    /// Time of the last listing.
     at: Time,
+    /// Tail latencies in the last listing, in milliseconds.
     tails: BTreeMap<TaskId, u64>,
     cpu_used: BTreeMap<Image, i64>,
 }
 
 impl Sampler {
-    /// Takes the figures of a look; returns how tails and fill work changed since the last one, if
-    /// both did.
+    /// Records the usage in a listing. Returns the changes since the last listing if tail latencies
+    /// are comparable and best-effort CPU usage changed.
     pub fn observe(
         &mut self,
         now: Time,
--- a/crates/core/src/flow/step.rs
+++ b/crates/core/src/flow/step.rs
@@ -24,9 +24,9 @@
     pub done_count: u32,
     pub failures: BTreeMap<u32, BTreeSet<Run>>,
     /// Newest checkpoints.
-    pub saved: HashMap<u32, String>,
+    pub checkpoints: HashMap<u32, String>,
     /// Last run numbers in use.
-    pub runs: HashMap<u32, Run>,
+    pub last_runs: HashMap<u32, Run>,
     /// Workers on which a task failed or stood still last.
     pub avoid: HashMap<u32, Slot>,
     pub per_worker: HashMap<Slot, u32>,
@@ -54,13 +54,13 @@
 
     /// Number of the next run of a task.
     pub fn next_run(&self, index: u32, base: Run) -> Run {
-        self.runs.get(&index).map_or(base, |last| (last + 1).max(base))
+        self.last_runs.get(&index).map_or(base, |last| (last + 1).max(base))
     }
 
     /// Notes a run on a worker.
     pub fn begin(&mut self, index: u32, attempt: Attempt) {
         self.waiting.remove(&index);
-        self.runs.insert(index, attempt.run);
+        self.last_runs.insert(index, attempt.run);
         *self.per_worker.entry(attempt.slot).or_default() += 1;
         self.running.insert(index, attempt);
     }
@@ -81,7 +81,7 @@
         }
         self.waiting.remove(&index);
         self.failures.remove(&index);
-        self.saved.remove(&index);
+        self.checkpoints.remove(&index);
         self.avoid.remove(&index);
     }
 
--- a/crates/core/tests/flow/node.rs
+++ b/crates/core/tests/flow/node.rs
@@ -109,7 +109,7 @@
 fn ends_are_passed_on_once_and_acknowledged_after_the_owner() {
     let mut node = attached(100);
     node.take_actions();
-    let end = End { number: 1, task: TASK, run: 1, kind: EndKind::Done, saved: String::new() };
+    let end = End { number: 1, task: TASK, run: 1, kind: EndKind::Done, checkpoint: String::new() };
     let mut passed = 0;
     for at in [20, 120] {
         node.listed(ms(at), "life-1", 100, 1_100, Vec::new(), vec![end.clone()]);
@@ -134,7 +134,7 @@
     node.started(ms(6), "life-1", TASK, 1, Outcome::Done);
     let mut reports = 0;
     for at in 1..8 {
-        let row = Running { task: TASK, run: 1, saved: String::new(), percent: 10, load: 0 };
+        let row = Running { task: TASK, run: 1, checkpoint: String::new(), percent: 10, load: 0 };
         node.listed(ms(at * 1_000), "life-1", 100, 1_000 + at * 1_000, vec![row], Vec::new());
         let is_report = |a: &Action| matches!(a, Action::Send(AgentMessage::Stalled { .. }));
         reports += node.take_actions().iter().filter(|action| is_report(action)).count();
--- a/crates/core/tests/flow/support.rs
+++ b/crates/core/tests/flow/support.rs
@@ -140,7 +140,7 @@
         let running = worker.running.values().map(|start| Running {
             task: start.task,
             run: start.run,
-            saved: String::new(),
+            checkpoint: String::new(),
             percent: 0,
             load: 0,
         });
@@ -227,7 +227,8 @@
     pub fn end(&mut self, index: usize, task: TaskId, kind: EndKind) {
         let worker = &mut self.workers[index];
         let Some(start) = worker.running.remove(&task) else { return };
-        let end = End { number: worker.next_end, task, run: start.run, kind, saved: String::new() };
+        let end =
+            End { number: worker.next_end, task, run: start.run, kind, checkpoint: String::new() };
         worker.next_end += 1;
         worker.ends.push(end.clone());
         let up = AgentMessage::Ends { worker: worker.info.id.clone(), ends: vec![end] };
