--- a/crates/core/src/flow.rs
+++ b/crates/core/src/flow.rs
@@ -10,10 +10,10 @@
 //! - A *long-running* task runs until its job is cancelled. A *serving* task is a long-running task
 //!   with a target for its tail latency.
 //! - A *best-effort* task reserves no CPU and runs on what other tasks leave idle. Its *pace* is
-//! the
-//!   CPU it may use, in percent of what it requests.
+//!   the CPU that it may use, in percent of what it requests.
 //! - *Interference* is the rise of a serving task's tail latency caused by best-effort tasks on the
 //!   same worker.
+//! - The *roster* is the stored list of nodes whose agents may hold a permission.
 
 pub mod interference;
 pub mod message;
--- a/crates/core/tests/flow/interference.rs
+++ b/crates/core/tests/flow/interference.rs
@@ -12,11 +12,12 @@
 
 const ROOM: u64 = 16_000;
 
-/// Guards against mistaking a pair with strong interference for a weak one. In the extended auction
-/// scenario one pair in five interferes ten times as strongly as the others. Only tail latencies
-/// show which, and these vary by a third between listings due to the serving tasks' own load.
+/// Guards against mistaking a pair with strong interference for a weak one. In the enlarged auction
+/// workload scenario one pair in five interferes ten times as strongly as the others. Only tail
+/// latencies show which, and these vary by a third between listings due to the serving tasks' own
+/// load.
 #[test]
-fn heavy_pairs_are_told_from_light_ones_by_the_tails_of_mixed_workers() {
+fn strong_interference_is_told_from_weak_by_tail_latencies() {
     let weight = |serving: Image, best_effort: Image| match (serving * 7 + best_effort * 3) % 5 {
         0 => 4.0,
         _ => 0.2,
@@ -59,7 +60,7 @@
 /// Guards against learning from tasks that were not in the previous listing, or from listings so
 /// far apart that the load has changed.
 #[test]
-fn only_tasks_seen_in_two_close_looks_teach() {
+fn learning_uses_only_tasks_in_two_close_listings() {
     let mut sampler = Sampler::default();
     let first = ([serving(1, 10, 20)], [best_effort(2, 50, 1_000)]);
     assert_eq!(sampler.observe(ms(1_000), &first.0, &first.1), None);
--- a/crates/core/tests/flow/load.rs
+++ b/crates/core/tests/flow/load.rs
@@ -34,8 +34,8 @@
 }
 
 /// Guards against starting each job just when it can no longer meet its objective. With twice the
-/// load that fits, as in the calm scenario of the extended guide, nearly all jobs then complete
-/// late.
+/// load that fits, as in the calm scenario of the enlarged guide workload, nearly all jobs then
+/// complete late.
 #[test]
 fn under_twice_the_load_half_of_the_jobs_are_in_time() {
     assert!(in_time(30, Duration::from_secs(2)) >= 28, "all fit");
@@ -43,11 +43,11 @@
     assert!(half >= 13, "{half} of 30 in time; capacity for 15");
 }
 
-/// Guards against a job that never starts. In a run of the guide's scale-2 scenario with seed
-/// 216579984745, found by seed search, the largest late job waited for 48 s while workers were half
-/// empty but under pressure from serving tasks.
+/// Guards against a job that never starts. In a run of the guide workload's scale-2 scenario with
+/// seed 216579984745, found by seed search, the largest late job waited for 48 s while workers were
+/// half empty but under pressure from serving tasks.
 #[test]
-fn a_job_with_nothing_running_begins_even_on_pressed_workers() {
+fn a_job_without_runs_starts_even_on_workers_under_pressure() {
     let mut world = World::new(1, 40_000);
     let mut serving = step(1, 5_000, 0);
     serving.long_running = true;
@@ -124,19 +124,19 @@
 }
 
 /// Guards against spreading best-effort tasks evenly over all workers. In the calm scenario of the
-/// extended guide this raised all tail latencies and throttled the tasks to half, although each
-/// image interferes with only a few serving images.
+/// enlarged guide workload this raised all tail latencies and throttled the tasks to half, although
+/// each image interferes with only a few serving images.
 #[test]
-fn fill_tasks_go_where_they_disturb_nobody() {
+fn best_effort_tasks_go_where_they_do_not_interfere() {
     let (mut world, sensitive, _) = trained();
     assert_eq!(start_best_effort(&mut world, &sensitive), (6, 0));
 }
 
 /// Guards against tail latencies above their targets after each takeover. In the trouble-1 scenario
-/// of the extended guide the mean worst tail latency was 172 % of its target ten seconds after all
-/// machines had lost power.
+/// of the enlarged guide workload the mean worst tail latency was 172 % of its target ten seconds
+/// after all machines had lost power.
 #[test]
-fn a_successor_knows_which_fill_tasks_disturb_whom() {
+fn a_successor_takes_over_the_learned_interference() {
     let (mut world, sensitive, jobs) = trained();
     world.advance(Duration::from_secs(6));
     world.end_all(EndKind::Done, |task| task.job == 3 && task.index == 0);
@@ -148,10 +148,10 @@
 }
 
 /// Guards against a long-running task that is not restarted because small tasks take all CPU that
-/// becomes free. In the extended auction's lost-answers-in-burst scenario with seed 723468889980,
-/// found by seed search, four tasks stayed down while a long queue was served.
+/// becomes free. In the enlarged auction workload's lost-answers-in-burst scenario with seed
+/// 723468889980, found by seed search, four tasks stayed down while a long queue was served.
 #[test]
-fn a_lasting_task_that_ended_gets_its_room_back_from_a_queue_of_small_tasks() {
+fn a_long_running_task_regains_its_capacity_from_a_queue_of_small_tasks() {
     let mut world = World::new(2, 4_000);
     let long_running = Step { long_running: true, ..step(1, 3_000, 100) };
     world.submit(1, job(2, vec![long_running]));
--- a/crates/core/tests/flow/node.rs
+++ b/crates/core/tests/flow/node.rs
@@ -93,7 +93,7 @@
 /// Guards against a worker with a slow clock that continues to run tasks after the owner may have
 /// moved them: the deadline sent to the worker must pass before the permission expires.
 #[test]
-fn a_hold_ends_before_the_permission_on_a_slow_clock() {
+fn a_start_deadline_passes_before_the_permission_on_a_slow_clock() {
     let mut node = attached(100);
     node.receive(ms(10), start(1));
     let lapses = calls(&mut node).into_iter().find_map(|call| match call {
--- a/crates/core/tests/flow/owner.rs
+++ b/crates/core/tests/flow/owner.rs
@@ -30,7 +30,7 @@
 
 /// Guards against reserving more than a worker's capacity while no run has ended.
 #[test]
-fn a_worker_is_never_given_more_than_its_room() {
+fn a_worker_is_never_given_more_than_its_capacity() {
     let mut world = World::new(2, 2_000);
     world.submit(7, job(2, vec![step(9, 1_000, 500)]));
     assert_eq!(world.running().len(), 4);
@@ -62,7 +62,7 @@
 /// Guards against a waiting task that is never placed because no event follows when the backoff of
 /// the only worker expires.
 #[test]
-fn a_worker_that_has_rested_is_used_again_without_other_events() {
+fn a_worker_is_used_again_after_its_backoff_without_other_events() {
     let mut world = World::new(1, 10_000);
     for number in 1..=2 {
         world.submit(number, job(3, vec![step(1, 1_000, 500)]));
@@ -76,7 +76,7 @@
 /// Guards against a second run of a task while the first may continue under a permission that the
 /// predecessor granted.
 #[test]
-fn a_successor_waits_for_workers_that_it_does_not_hear() {
+fn a_successor_waits_for_workers_that_have_not_reported() {
     let mut world = World::new(2, 10_000);
     let spec = job(2, vec![step(2, 9_000, 500)]);
     world.submit(7, spec.clone());
@@ -145,10 +145,10 @@
 }
 
 /// Guards against a successor that waits for the permissions of workers that have exited. In the
-/// trouble-1 scenario of the extended guide, 33 workers were replaced before a power loss on all
-/// machines; the earlier jobs did not resume for six seconds after the machines were back.
+/// trouble-1 scenario of the enlarged guide workload, 33 workers were replaced before a power loss
+/// on all machines; the earlier jobs did not resume for six seconds after the machines were back.
 #[test]
-fn a_successor_does_not_wait_for_workers_that_signed_off() {
+fn a_successor_does_not_wait_for_workers_that_have_exited() {
     let mut world = World::new(3, 10_000);
     let spec = job(2, vec![step(1, 9_000, 500)]);
     let (slot, session) = (world.workers[2].slot, world.workers[2].session);
@@ -166,7 +166,7 @@
 }
 
 /// Guards against a burst of starts that all agents reject. This occurred in the trouble-1 scenario
-/// of the guide, when an owner regained its lease after its agents' permissions had expired.
+/// of the guide workload, when an owner regained its lease after its agents' permissions had expired.
 #[test]
 fn nothing_starts_on_an_agent_whose_permission_may_have_run_out() {
     let mut world = World::new(1, 10_000);
--- a/crates/core/tests/flow/pace.rs
+++ b/crates/core/tests/flow/pace.rs
@@ -40,10 +40,10 @@
 }
 
 /// Guards against best-effort tasks that stay stopped after the tail latency of a serving task was
-/// high due to the task's own load. This occurred in the trouble-1 scenario of the guide, where
-/// jobs were throttled to zero until the end of the run.
+/// high due to the task's own load. This occurred in the trouble-1 scenario of the guide workload,
+/// where jobs were throttled to zero until the end of the run.
 #[test]
-fn fill_tasks_work_beside_a_task_that_is_under_its_target_by_itself() {
+fn best_effort_tasks_run_beside_a_task_that_is_below_its_target_by_itself() {
     let mut pacer = Pacer::default();
     play(&mut pacer, 0, 6, 60.0, 0.0);
     assert_eq!(pacer.pressure().level, 0, "above its target regardless of the best-effort tasks");
@@ -54,7 +54,7 @@
 /// Guards against best-effort tasks that keep a serving task above its target for longer than users
 /// tolerate.
 #[test]
-fn a_task_pressed_over_its_target_is_under_it_again_within_two_seconds() {
+fn a_task_above_its_target_by_interference_is_below_it_within_two_seconds() {
     let mut pacer = Pacer::default();
     let rows = play(&mut pacer, 0, 30, 25.0, 4.0);
     let longest = rows.split(|(_, tail)| *tail < f64::from(TARGET)).map(<[_]>::len).max();
@@ -63,7 +63,7 @@
 
 /// Guards against a pace that oscillates between 0 and 100 % under constant load.
 #[test]
-fn the_pace_settles_under_constant_pressure() {
+fn the_pace_settles_under_constant_interference() {
     let mut pacer = Pacer::default();
     let rows = play(&mut pacer, 0, 40, 20.0, 4.0);
     let late: Vec<u32> = rows[40..].iter().map(|row| row.0).collect();
@@ -71,10 +71,11 @@
     assert!(most - least <= 20 && *least >= 10, "{late:?}");
 }
 
-/// Guards against throttling best-effort tasks that do not interfere. In the extended guide all
-/// best-effort tasks of a worker got the same pace, although four in five did not interfere there.
+/// Guards against throttling best-effort tasks that do not interfere. In the enlarged guide
+/// workload all best-effort tasks of a worker got the same pace, although four in five did not
+/// interfere there.
 #[test]
-fn the_fill_task_that_disturbs_most_is_paced_first() {
+fn the_task_that_interferes_most_is_throttled_first() {
     let mut pacer = Pacer::default();
     pacer.set_weight(1, 10, 6_000);
     pacer.set_weight(1, 11, 50);
@@ -94,7 +95,7 @@
 /// Guards against best-effort tasks that continue while a serving task stays above its target,
 /// because their learned interference is zero. The learned value may be wrong.
 #[test]
-fn all_fill_tasks_stop_beside_a_task_that_stays_over_its_target() {
+fn all_best_effort_tasks_stop_beside_a_task_that_stays_above_its_target() {
     let mut pacer = Pacer::default();
     pacer.set_weight(1, 10, 0);
     let mut paces = Vec::new();
--- a/crates/core/tests/flow/place.rs
+++ b/crates/core/tests/flow/place.rs
@@ -35,7 +35,7 @@
 
 /// Guards against a start on a draining worker, and against long-running tasks that stay on it.
 #[test]
-fn a_draining_worker_gets_no_starts_and_lasting_tasks_leave_it() {
+fn a_draining_worker_gets_no_starts_and_long_running_tasks_leave_it() {
     let mut world = World::new(2, 1_000);
     world.submit(1, job(2, vec![Step { long_running: true, ..step(1, 500, 0) }]));
     let (home, _) = world.running()[0];
@@ -71,7 +71,7 @@
 /// Guards against a worker that gets no starts because its capacity is held for a long-running task
 /// that never fits there: other long-running tasks leave too little memory.
 #[test]
-fn a_worker_is_not_kept_for_a_lasting_task_that_never_fits_there() {
+fn capacity_is_not_held_for_a_long_running_task_that_never_fits() {
     let mut world = World::new(1, 4_000);
     let long_running =
         |memory| Step { long_running: true, need: Resources::new(500, memory, 0), ..step(1, 0, 0) };
