--- a/crates/core/src/flow/interference.rs
+++ b/crates/core/src/flow/interference.rs
@@ -150,9 +150,10 @@
                 pairs.push((*best_effort, *share, known));
             }
             let expected: f64 = pairs.iter().map(|(_, share, known)| known.mean * share).sum();
-            let spread: f64 = pairs.iter().map(|(_, s, known)| known.variance * s * s).sum();
+            let prediction_variance: f64 =
+                pairs.iter().map(|(_, s, known)| known.variance * s * s).sum();
             for (best_effort, share, known) in pairs {
-                let gain = known.variance * share / (NOISE_VARIANCE + spread);
+                let gain = known.variance * share / (NOISE_VARIANCE + prediction_variance);
                 let mean = known.mean + gain * (observed - expected);
                 let weight = Weight {
                     mean: mean.clamp(MIN_WEIGHT, MAX_WEIGHT),
--- a/crates/core/src/flow/message.rs
+++ b/crates/core/src/flow/message.rs
@@ -219,7 +219,7 @@
     },
 }
 
-/// Request from an entry process to the owner.
+/// Request from an entry process to the owner. `query` is echoed in the reply.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EntryRequest {
     State {
--- a/crates/core/src/flow/model.rs
+++ b/crates/core/src/flow/model.rs
@@ -35,7 +35,7 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
-        let fail = || format!("`{text}` does not name a task");
+        let fail = || format!("invalid task ID `{text}`");
         let mut parts = text.split('.');
         let mut part = || parts.next().ok_or_else(fail);
         let job = parse_job(part()?).ok_or_else(fail)?;
@@ -162,14 +162,14 @@
         }
         let tasks: u64 = self.steps.iter().map(|step| u64::from(step.count)).sum();
         if tasks > MAX_TASKS {
-            return Err(format!("{tasks} tasks exceed {MAX_TASKS}"));
+            return Err(format!("a job may have at most {MAX_TASKS} tasks, not {tasks}"));
         }
         for (number, step) in self.steps.iter().enumerate() {
             if step.count == 0 {
                 return Err(format!("step {number}: the number of tasks must be at least 1"));
             }
             if let Some(after) = step.after.iter().find(|after| usize::from(**after) >= number) {
-                return Err(format!("step {number}: {after} is not an earlier step"));
+                return Err(format!("step {number}: dependency {after} is not an earlier step"));
             }
         }
         Ok(())
--- a/crates/core/src/flow/node.rs
+++ b/crates/core/src/flow/node.rs
@@ -139,8 +139,8 @@
 #[derive(Debug)]
 struct Worker {
     info: WorkerInfo,
-    /// Sequence number of the last heartbeat.
-    heartbeat: u64,
+    /// Sequence number of the newest heartbeat.
+    last_sequence: u64,
     /// The worker's clock in milliseconds in the last listing, and the agent's time when it
     /// arrived.
     clock: Option<(u64, Time)>,
@@ -199,10 +199,10 @@
     pub fn heartbeat(&mut self, now: Time, info: WorkerInfo, sequence: u64) {
         match &mut self.worker {
             Some(worker) if worker.info.id == info.id => {
-                if sequence <= worker.heartbeat {
+                if sequence <= worker.last_sequence {
                     return;
                 }
-                worker.heartbeat = sequence;
+                worker.last_sequence = sequence;
                 let begins_drain = info.draining && !worker.info.draining;
                 let (id, remaining) = (info.id.clone(), info.remaining);
                 worker.info = info;
--- a/crates/core/src/flow/node/listing.rs
+++ b/crates/core/src/flow/node/listing.rs
@@ -61,12 +61,12 @@
     fn adopt_worker(&mut self, id: &str) {
         let is_candidate = self.candidate.as_ref().is_some_and(|(info, _)| info.id == id);
         match self.candidate.take() {
-            Some((info, heartbeat)) if is_candidate => {
+            Some((info, last_sequence)) if is_candidate => {
                 self.lose_worker("replaced");
                 self.worker_ended = false;
                 let worker = Worker {
                     info,
-                    heartbeat,
+                    last_sequence,
                     clock: None,
                     acknowledged: 0,
                     forwarded: 0,
--- a/crates/core/src/flow/owner.rs
+++ b/crates/core/src/flow/owner.rs
@@ -111,7 +111,7 @@
     /// First occurrence that is not due yet.
     pub(super) next_occurrence: u32,
     /// When the job was submitted or taken over, or its newest occurrence became due.
-    pub(super) since: Time,
+    pub(super) released_at: Time,
     pub(super) phase: Phase,
     /// Whether the store holds a cancellation of the job.
     pub(super) has_cancel: bool,
@@ -128,7 +128,7 @@
     /// Time by which the job should complete.
     pub(super) objective: Time,
     /// Estimated CPU time of tasks that are not done, in thousandths of a core times milliseconds.
-    pub(super) work: u64,
+    pub(super) remaining_work: u64,
 }
 
 /// State of a node, its agent and its worker, as the owner knows it.
@@ -166,7 +166,7 @@
     /// no starts while there are any.
     pub(super) stale_runs: BTreeSet<(TaskId, Run)>,
     /// Whether the durable roster contains the node, so that a successor would wait for it.
-    pub(super) is_listed: bool,
+    pub(super) in_roster: bool,
 }
 
 /// Contents of the write in flight: versions of job records, and nodes in the roster.
@@ -290,14 +290,15 @@
         is_inherited: bool,
     ) {
         let objective_ms = spec.queue.stretch * spec.chain_ms() as f64 + spec.queue.slack_ms as f64;
-        let work = spec.steps.iter().map(|s| s.need.cpu_milli * s.estimate_ms * u64::from(s.count));
+        let remaining_work =
+            spec.steps.iter().map(|s| s.need.cpu_milli * s.estimate_ms * u64::from(s.count));
         let mut job = Job {
-            work: work.sum(),
+            remaining_work: remaining_work.sum(),
             objective: now + Duration::from_millis(objective_ms as u64),
             spec: Arc::new(spec),
             occurrences: BTreeMap::new(),
             next_occurrence: 0,
-            since: now,
+            released_at: now,
             phase: progress.phase,
             has_cancel: false,
             is_inherited,
@@ -535,7 +536,7 @@
             backoff_until: Time::ZERO,
             drain_deadline: None,
             stale_runs: BTreeSet::new(),
-            is_listed: false,
+            in_roster: false,
         }
     }
 }
--- a/crates/core/src/flow/owner/commit.rs
+++ b/crates/core/src/flow/owner/commit.rs
@@ -27,7 +27,7 @@
             let is_member = |node: &Node| node.worker.is_some();
             slots = (0..self.nodes.len()).filter(|s| is_member(&self.nodes[*s])).collect();
             // A node that is left out must be in a durable roster again before it gets starts.
-            self.nodes.iter_mut().for_each(|node| node.is_listed &= is_member(node));
+            self.nodes.iter_mut().for_each(|node| node.in_roster &= is_member(node));
             let mut names: BTreeSet<String> = self.unreported.clone();
             names.extend(slots.iter().map(|slot| self.nodes[*slot].name.clone()));
             commit.roster = Some(names.into_iter().collect());
@@ -75,7 +75,7 @@
             }
         }
         for slot in slots {
-            self.nodes[slot].is_listed = true;
+            self.nodes[slot].in_roster = true;
             self.placement_due = true;
         }
         for slot in 0..self.nodes.len() {
--- a/crates/core/src/flow/owner/ends.rs
+++ b/crates/core/src/flow/owner/ends.rs
@@ -55,7 +55,7 @@
                 self.failed(now, slot, end);
             }
             EndKind::Failed => {
-                state.avoid.insert(task.index, slot);
+                state.avoided_nodes.insert(task.index, slot);
                 self.record_failure(now, slot, task.job);
             }
             _ => {
@@ -87,7 +87,8 @@
             self.send(slot, OwnerMessage::Stop { task: other, run });
         }
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
-        job.work = job.work.saturating_sub(step.need.cpu_milli * step.estimate_ms);
+        job.remaining_work =
+            job.remaining_work.saturating_sub(step.need.cpu_milli * step.estimate_ms);
         if job.phase.is_final() {
             return;
         }
@@ -98,7 +99,7 @@
         }
         self.mark_dirty(task.job, is_complete);
         if is_complete {
-            let took = now.saturating_sub(self.jobs[&task.job].since).as_millis();
+            let took = now.saturating_sub(self.jobs[&task.job].released_at).as_millis();
             let objective = self.jobs[&task.job].objective;
             let detail = format!("took_ms={took} in_time={}", now <= objective);
             self.log("job_completed", Some(task.job), detail);
@@ -120,7 +121,7 @@
         let count = failures.len() as u32;
         let is_last = count >= limit;
         let detail = format!("task={task} run={} failures={count} limit={limit}", end.run);
-        state.avoid.insert(task.index, slot);
+        state.avoided_nodes.insert(task.index, slot);
         self.log("task_failed", Some(task.job), format!("{detail} node={}", self.nodes[slot].name));
         self.record_failure(now, slot, task.job);
         if is_gang {
@@ -195,7 +196,7 @@
         self.placement_due |= self.nodes[slot].stale_runs.remove(&(task, run));
         if self.drop_run(&task, run).is_some() {
             if let Some((_, state)) = self.step_mut(&task) {
-                state.avoid.insert(task.index, slot);
+                state.avoided_nodes.insert(task.index, slot);
             }
         }
     }
@@ -208,7 +209,7 @@
             return;
         }
         attempt.is_stopping = true;
-        state.avoid.insert(task.index, slot);
+        state.avoided_nodes.insert(task.index, slot);
         self.nodes[slot].backoff_until = self.nodes[slot].backoff_until.max(now + STALL_BACKOFF);
         let detail = format!("task={task} run={run} node={}", self.nodes[slot].name);
         self.log("task_stalled", Some(task.job), detail);
--- a/crates/core/src/flow/place.rs
+++ b/crates/core/src/flow/place.rs
@@ -57,8 +57,8 @@
     lateness: u8,
     priority: u8,
     /// Remaining CPU time of the job, so that small jobs do not wait for a large one.
-    work: u64,
-    since: Time,
+    remaining_work: u64,
+    released_at: Time,
 }
 
 /// A step with waiting tasks.
@@ -83,8 +83,8 @@
             while job.next_occurrence < table.times && wall >= due(job.next_occurrence) {
                 job.open(job.next_occurrence, &Progress::default());
                 job.next_occurrence += 1;
-                let objective = job.objective.saturating_sub(job.since);
-                job.since = now;
+                let objective = job.objective.saturating_sub(job.released_at);
+                job.released_at = now;
                 job.objective = now + objective;
                 self.placement_due = true;
             }
@@ -140,7 +140,7 @@
                         candidates.push(Candidate {
                             // Users notice each second that a long-running task is down.
                             rank: match step.long_running {
-                                true => Rank { lateness: 0, work: 0, ..rank },
+                                true => Rank { lateness: 0, remaining_work: 0, ..rank },
                                 false => rank,
                             },
                             job: *number,
@@ -189,7 +189,7 @@
         let rack = if step.same_rack { self.shared_rack(now, candidate, spec, step) } else { None };
         for index in waiting {
             let task = TaskId { job, occurrence, step: candidate.step, index };
-            let avoid = self.state(candidate).avoid.get(&index).copied();
+            let avoid = self.state(candidate).avoided_nodes.get(&index).copied();
             let rack = rack.as_deref().or(step.preferred_rack.as_deref());
             let planned = BTreeMap::new();
             match self.choose_node(now, candidate, spec, step, avoid, rack, &planned) {
@@ -220,7 +220,7 @@
         let mut planned: BTreeMap<Slot, u32> = BTreeMap::new();
         let mut slots = Vec::with_capacity(waiting.len());
         for index in &waiting {
-            let avoid = self.state(candidate).avoid.get(index).copied();
+            let avoid = self.state(candidate).avoided_nodes.get(index).copied();
             let Some(slot) = self.choose_node(now, candidate, spec, step, avoid, rack, &planned)
             else {
                 return false;
@@ -320,14 +320,19 @@
 
 /// Returns the rank of a job's steps.
 fn rank(job: &Job, now: Time) -> Rank {
-    let objective = job.objective.saturating_sub(job.since);
+    let objective = job.objective.saturating_sub(job.released_at);
     let left = Duration::from_millis(job.chain_left_ms() * MIN_TIME_LEFT_PERCENT / 100);
     let lateness = match now {
         _ if now + left <= job.objective => 0,
-        _ if now <= job.since + objective * MAX_LATE_FACTOR => 1,
+        _ if now <= job.released_at + objective * MAX_LATE_FACTOR => 1,
         _ => 2,
     };
-    Rank { lateness, priority: job.spec.queue.priority, work: job.work, since: job.since }
+    Rank {
+        lateness,
+        priority: job.spec.queue.priority,
+        remaining_work: job.remaining_work,
+        released_at: job.released_at,
+    }
 }
 
 impl Node {
@@ -358,7 +363,7 @@
         let Some(worker) = &self.worker else { return false };
         self.is_attached
             && now < self.last_pong + MAX_PERMISSION_AGE
-            && self.is_listed
+            && self.in_roster
             && !worker.draining
             && self.stale_runs.is_empty()
             && now >= self.backoff_until
--- a/crates/core/src/flow/recovery.rs
+++ b/crates/core/src/flow/recovery.rs
@@ -87,7 +87,7 @@
         node.stale_runs.clear();
         node.is_attached = true;
         node.last_pong = now;
-        if !node.is_listed {
+        if !node.in_roster {
             self.mark_roster_changed();
         }
         let detail = format!(
--- a/crates/core/src/flow/step.rs
+++ b/crates/core/src/flow/step.rs
@@ -30,7 +30,7 @@
     /// Highest run number of each task.
     pub last_runs: HashMap<u32, Run>,
     /// Node on which a task last failed, stalled or could not start.
-    pub avoid: HashMap<u32, Slot>,
+    pub avoided_nodes: HashMap<u32, Slot>,
     /// Number of tasks in progress by node.
     pub per_worker: HashMap<Slot, u32>,
     /// When all steps that this step depends on were done.
@@ -86,7 +86,7 @@
         self.waiting.remove(&index);
         self.failures.remove(&index);
         self.checkpoints.remove(&index);
-        self.avoid.remove(&index);
+        self.avoided_nodes.remove(&index);
     }
 
     /// Returns the durable part of the state.
--- a/crates/core/tests/flow/pace.rs
+++ b/crates/core/tests/flow/pace.rs
@@ -19,7 +19,7 @@
 
 /// Simulates `seconds` with a tail latency of `alone` that best-effort tasks at full pace raise by
 /// the factor `1 + slowdown`. Returns the pace and tail latency of each half second.
-fn play(
+fn simulate(
     pacer: &mut Pacer,
     from_ms: u64,
     seconds: u64,
@@ -45,9 +45,9 @@
 #[test]
 fn best_effort_tasks_run_beside_a_task_that_is_below_its_target_by_itself() {
     let mut pacer = Pacer::default();
-    play(&mut pacer, 0, 6, 60.0, 0.0);
+    simulate(&mut pacer, 0, 6, 60.0, 0.0);
     assert_eq!(pacer.pressure().level, 0, "above its target regardless of the best-effort tasks");
-    let rows = play(&mut pacer, 6_000, 12, 38.0, 0.1);
+    let rows = simulate(&mut pacer, 6_000, 12, 38.0, 0.1);
     assert_eq!(rows.last().map(|row| row.0), Some(100), "{rows:?}");
 }
 
@@ -56,7 +56,7 @@
 #[test]
 fn a_task_above_its_target_by_interference_is_below_it_within_two_seconds() {
     let mut pacer = Pacer::default();
-    let rows = play(&mut pacer, 0, 30, 25.0, 4.0);
+    let rows = simulate(&mut pacer, 0, 30, 25.0, 4.0);
     let longest = rows.split(|(_, tail)| *tail < f64::from(TARGET)).map(<[_]>::len).max();
     assert!(longest <= Some(4), "{longest:?} half seconds above the target: {rows:?}");
 }
@@ -65,7 +65,7 @@
 #[test]
 fn the_pace_settles_under_constant_interference() {
     let mut pacer = Pacer::default();
-    let rows = play(&mut pacer, 0, 40, 20.0, 4.0);
+    let rows = simulate(&mut pacer, 0, 40, 20.0, 4.0);
     let late: Vec<u32> = rows[40..].iter().map(|row| row.0).collect();
     let (least, most) = (late.iter().min().unwrap(), late.iter().max().unwrap());
     assert!(most - least <= 20 && *least >= 10, "{late:?}");
