--- a/crates/core/src/flow/place.rs
+++ b/crates/core/src/flow/place.rs
@@ -292,8 +292,8 @@
             {
                 continue;
             }
-            let taken = u64::from(planned_here) * step.need.cpu_milli;
-            let free = node.free_cpu().saturating_sub(taken);
+            let planned_cpu = u64::from(planned_here) * step.need.cpu_milli;
+            let free = node.free_cpu().saturating_sub(planned_cpu);
             let score = (
                 avoid == Some(slot),
                 node.failure_streak > 0,
@@ -302,7 +302,7 @@
                 Reverse(if step.long_running { node.long_running.cpu_milli } else { 0 }),
                 match (step.long_running, step.best_effort) {
                     (true, _) => free,
-                    (false, true) => self.best_effort_cost(node, step, taken),
+                    (false, true) => self.best_effort_cost(node, step, planned_cpu),
                     (false, false) => u64::MAX / 4 - free,
                 },
             );
@@ -371,15 +371,16 @@
             && step.required_label.as_ref().is_none_or(|label| worker.labels.contains(label))
     }
 
-    /// Tells whether one more task of a step fits beside `taken` planned ones.
-    fn has_capacity(&self, step: &Step, taken: u64) -> bool {
+    /// Tells whether one more task of a step fits beside `planned` ones.
+    fn has_capacity(&self, step: &Step, planned: u64) -> bool {
         let Some(worker) = &self.worker else { return false };
         let reserved = step.reserved();
         let mut used = self.used.plus(&reserved);
-        for _ in 0..taken {
+        for _ in 0..planned {
             used = used.plus(&reserved);
         }
-        used.fits_in(&worker.capacity) && (!step.best_effort || self.best_effort_fits(step, taken))
+        used.fits_in(&worker.capacity)
+            && (!step.best_effort || self.best_effort_fits(step, planned))
     }
 }
 
--- a/crates/core/src/flow/place/best_effort.rs
+++ b/crates/core/src/flow/place/best_effort.rs
@@ -62,11 +62,11 @@
         cpu as f64 / self.cpu_capacity().max(1) as f64
     }
 
-    /// Tells whether the CPU for one more best-effort task is free beside `taken` planned tasks of
-    /// the same step.
-    pub(super) fn best_effort_fits(&self, step: &Step, taken: u64) -> bool {
+    /// Tells whether the CPU for one more best-effort task is free beside `planned` tasks of
+    /// the same step that are about to start.
+    pub(super) fn best_effort_fits(&self, step: &Step, planned: u64) -> bool {
         let need = step.need.cpu_milli;
-        let free = self.spare_cpu().saturating_sub(taken * need);
+        let free = self.spare_cpu().saturating_sub(planned * need);
         let is_large = need > self.cpu_capacity() / 2;
         let is_first = self.total_best_effort_cpu() == 0 && is_large;
         free >= need || (is_first && free * 100 >= need * MIN_BEST_EFFORT_PERCENT)
@@ -130,22 +130,22 @@
         worst
     }
 
-    /// Tells whether one more best-effort task, beside `here` planned ones, would interfere too
+    /// Tells whether one more best-effort task, beside `planned` ones, would interfere too
     /// much with the serving tasks of a node. The first best-effort task on a node is always
     /// allowed.
-    pub(super) fn would_interfere(&self, node: &Node, step: &Step, here: u64) -> bool {
-        let (tail, rise) = self.expected_tail(node, step, here + 1);
+    pub(super) fn would_interfere(&self, node: &Node, step: &Step, planned: u64) -> bool {
+        let (tail, rise) = self.expected_tail(node, step, planned + 1);
         node.total_best_effort_cpu() > 0
             && rise > 0.0
             && (node.pressure.level < MIN_PRESSURE_LEVEL || tail > MAX_TAIL_PERCENT)
     }
 
-    /// Returns the cost of placing a best-effort task on a node, beside `taken` thousandths of a
-    /// core of planned tasks. The cost grows with the best-effort load, the expected tail latency
-    /// and its rise.
-    pub(super) fn best_effort_cost(&self, node: &Node, step: &Step, taken: u64) -> u64 {
-        let share =
-            ((node.total_best_effort_cpu() + taken) * 100 / node.cpu_capacity().max(1)) as f64;
+    /// Returns the cost of placing a best-effort task on a node, beside `planned_cpu` thousandths
+    /// of a core of planned tasks. The cost grows with the best-effort load, the expected tail
+    /// latency and its rise.
+    pub(super) fn best_effort_cost(&self, node: &Node, step: &Step, planned_cpu: u64) -> u64 {
+        let share = ((node.total_best_effort_cpu() + planned_cpu) * 100
+            / node.cpu_capacity().max(1)) as f64;
         let (tail, rise) = self.expected_tail(node, step, 1);
         (share + tail + RISE_WEIGHT * rise) as u64
     }
--- a/crates/core/tests/flow/owner.rs
+++ b/crates/core/tests/flow/owner.rs
@@ -166,7 +166,8 @@
 }
 
 /// Guards against a burst of starts that all agents reject. This occurred in the trouble-1 scenario
-/// of the guide workload, when an owner regained its lease after its agents' permissions had expired.
+/// of the guide workload, when an owner regained its lease after its agents' permissions had
+/// expired.
 #[test]
 fn nothing_starts_on_an_agent_whose_permission_may_have_run_out() {
     let mut world = World::new(1, 10_000);
