--- a/crates/core/src/flow/owner.rs
+++ b/crates/core/src/flow/owner.rs
@@ -1,66 +1,73 @@
-//! The owner of all jobs: applies what callers and agents report, and decides what runs where.
+//! State machine of the owner: handles requests of callers and messages of agents, and decides
+//! which tasks run on which worker.
 //!
-//! An end counts at once for what may start next. It is acknowledged to the worker, and a final
-//! phase is shown to callers, only after the job's record is durable.
+//! An end takes effect on scheduling at once. The owner acknowledges it to the worker, and shows a
+//! final phase to callers, only after the job's record is durable.
 
 mod commit;
 mod ends;
-mod room;
+mod reservations;
 mod workers;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
 
+use super::interference::{Baseline, Interference, InterferenceRow};
 use super::message::{
-    session_token, Down, EndNumber, Image, Pressure, Start, TaskTraits, Token, Up, WorkerInfo,
+    session_token, AgentMessage, EndNumber, Image, OwnerMessage, Pressure, Start, TaskTraits,
+    Token, WorkerInfo,
 };
 use super::model::{JobNumber, JobSpec, Run, Step, TaskId, WallMs};
-use super::press::{Base, Press, PressRow};
 use super::progress::{Phase, Progress};
 use super::step::{Attempt, StepState};
 use crate::hash;
 use crate::resources::Resources;
 use crate::time::Time;
 
-/// Index of a node in the owner's table.
+/// Index of a node in the owner's table of nodes.
 pub type Slot = usize;
-/// Number of a connection of an agent.
+/// Number of a session with an agent; unique within one owner.
 pub type Session = u32;
 
-/// Runs that one epoch may number; the next epoch begins above them.
+/// Number of run numbers in one epoch. Each epoch uses a range above that of the epoch before, so
+/// that a new owner never reuses a run number.
 const RUNS_PER_EPOCH: Run = 1_000;
-/// Time that changed records may wait for others, so that they share a write.
-const COMMIT_LINGER: Duration = Duration::from_millis(25);
-/// Keys that one write may name; the store's limit is 32, two are the fence's.
-const COMMIT_KEYS: usize = 30;
-/// Time between two requests of an agent for permission beyond which it may have missed starts.
-const PING_GAP: Duration = Duration::from_millis(1_500);
-/// Time between two stored copies of the learned press; they go with other records.
-const PRESS_INTERVAL: Duration = Duration::from_secs(5);
-/// Longest pause between two looks at timers.
-const IDLE_POLL: Duration = Duration::from_millis(500);
-
-/// What the owner is told at its start.
+/// Maximum time that a changed record waits to share a write with others.
+const COMMIT_DELAY: Duration = Duration::from_millis(25);
+/// Maximum number of keys in one write. The store's limit is 32; two are used for the fencing
+/// check.
+const MAX_COMMIT_KEYS: usize = 30;
+/// Gap between two pings of an agent beyond which its node may have been passed over for starts;
+/// placement then runs again.
+const MAX_PING_GAP: Duration = Duration::from_millis(1_500);
+/// Minimum interval between writes of the learned interference, which share a write with other
+/// records.
+const INTERFERENCE_INTERVAL: Duration = Duration::from_secs(5);
+/// Maximum time between two calls of [`Owner::poll`].
+const MAX_POLL_DELAY: Duration = Duration::from_millis(500);
+
+/// Settings of an owner.
 #[derive(Debug, Clone)]
 pub struct OwnerSettings {
+    /// Fencing epoch; increases with each owner.
     pub epoch: u32,
-    /// How long an agent may go on after a pong.
+    /// Duration of the permission that a pong grants.
     pub permission: Duration,
-    /// Time that an ended job stays known.
+    /// How long the record of an ended job is kept.
     pub keep_ended: Duration,
-    /// How much longer a task takes away from its data.
+    /// Factor by which a task takes longer on another rack than that of its data.
     pub remote_slowdown: f64,
 }
 
-/// What the shell does for the owner.
+/// Side effect that the caller of the state machine has to perform.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
-    Send { slot: Slot, session: Session, message: Down },
+    Send { slot: Slot, session: Session, message: OwnerMessage },
     Log(Decision),
 }
 
-/// A decision worth a log line.
+/// A decision to be logged.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Decision {
     pub event: &'static str,
@@ -68,86 +75,104 @@
     pub detail: String,
 }
 
-/// One job's record in a write.
+/// Progress record of one job, as part of a write.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Record {
     pub job: JobNumber,
     pub progress: Progress,
-    /// Whether a stored cancel goes with it.
+    /// Whether the write also removes the stored cancellation of the job.
     pub drops_cancel: bool,
 }
 
 impl Record {
+    /// Returns the number of keys that writing the record changes.
     fn keys(&self) -> usize {
         1 + usize::from(self.progress.phase.is_final()) + usize::from(self.drops_cancel)
     }
 }
 
-/// What one write makes durable.
+/// Contents of one atomic write to the store.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Commit {
     pub records: Vec<Record>,
+    /// Names of the nodes whose agents may hold a permission; a successor waits for these.
     pub roster: Option<Vec<String>>,
-    /// Records of jobs that ended long ago.
+    /// Ended jobs whose retention time is over; their records are removed.
     pub expired: Vec<JobNumber>,
-    /// What was learned of the images' press.
-    pub press: Option<Vec<PressRow>>,
+    /// Learned interference between images.
+    pub interference: Option<Vec<InterferenceRow>>,
 }
 
-/// A job in memory.
+/// State of a job in memory.
 #[derive(Debug)]
 pub struct Job {
     pub spec: Arc<JobSpec>,
     pub(super) occurrences: BTreeMap<u32, Vec<StepState>>,
-    /// First occurrence that has not become due.
+    /// First occurrence that is not due yet.
     pub(super) next_occurrence: u32,
-    pub(super) since: Time,
+    /// When the job was submitted or taken over, or its newest occurrence became due.
+    pub(super) released_at: Time,
     pub(super) phase: Phase,
+    /// Whether the store holds a cancellation of the job.
     pub(super) has_cancel: bool,
-    /// Tasks may run on a worker that has not been heard yet.
+    /// Whether the job comes from a predecessor, so that its tasks may already run on a worker
+    /// whose agent has not reported yet.
     pub(super) is_inherited: bool,
+    /// Version of the record in memory.
     pub(super) version: u64,
+    /// Newest version of the record that is durable.
     pub(super) durable: u64,
+    /// Nodes on which tasks of the job failed.
     pub(super) failed_on: HashSet<Slot>,
     pub(super) ended: Option<Time>,
+    /// Time by which the job should complete.
     pub(super) objective: Time,
-    /// Reserved work that is not done yet, in thousandths of a core times milliseconds.
-    pub(super) work: u64,
+    /// Estimated CPU time of tasks that are not done, in thousandths of a core times milliseconds.
+    pub(super) remaining_work: u64,
 }
 
-/// A node with an agent.
+/// State of a node, its agent and its worker, as the owner knows it.
 #[derive(Debug)]
 pub struct Node {
     pub name: String,
     pub session: Option<Session>,
-    /// Whether the agent has reported its worker in this session.
+    /// Whether the agent has reported its worker's state in this session.
     pub is_attached: bool,
+    /// When the agent's permission was last renewed.
     pub last_pong: Time,
     pub worker: Option<WorkerInfo>,
+    /// Resources reserved by all tasks.
     pub used: Resources,
-    /// Reserved for lasting tasks.
-    pub lasting: Resources,
+    /// Resources reserved by long-running tasks.
+    pub long_running: Resources,
     pub pressure: Pressure,
-    /// Processors of fill tasks, which reserve none, by image, in thousandths of a core.
-    pub(super) filled: BTreeMap<Image, u64>,
-    /// Serving tasks by image, and their tail without fill tasks.
-    pub(super) serving: BTreeMap<Image, (u32, Base)>,
+    /// CPU requested by best-effort tasks, by image, in thousandths of a core.
+    pub(super) best_effort_cpu: BTreeMap<Image, u64>,
+    /// Number of serving tasks by image, and their estimated tail latency without best-effort
+    /// tasks.
+    pub(super) serving: BTreeMap<Image, (u32, Baseline)>,
     pub tasks: BTreeMap<TaskId, Run>,
+    /// Highest end received from the worker.
     pub last_end: EndNumber,
-    pub(super) unseen: VecDeque<(EndNumber, JobNumber, u64)>,
-    pub(super) streak: u32,
-    pub(super) rests_until: Time,
-    pub(super) leaves_at: Option<Time>,
-    /// Runs that are to be stopped and belong to no open task.
-    pub(super) foreign: BTreeSet<(TaskId, Run)>,
-    /// In the stored roster, so that a successor will wait for this node.
-    pub(super) is_listed: bool,
+    /// Unacknowledged ends, with the job and the version of its record that must become durable.
+    pub(super) pending_acks: VecDeque<(EndNumber, JobNumber, u64)>,
+    /// Consecutive failures of different jobs on the node.
+    pub(super) failure_streak: u32,
+    /// Until when the node gets no starts after failures.
+    pub(super) backoff_until: Time,
+    /// When the draining worker exits; `Time::MAX` once its tasks are being moved.
+    pub(super) drain_deadline: Option<Time>,
+    /// Runs on the worker that are being stopped and are no longer tracked in a step. The node gets
+    /// no starts while there are any.
+    pub(super) stale_runs: BTreeSet<(TaskId, Run)>,
+    /// Whether the durable roster contains the node, so that a successor would wait for it.
+    pub(super) in_roster: bool,
 }
 
-/// What the write under way will make durable: versions of jobs, and nodes of the roster.
+/// Contents of the write in flight: versions of job records, and nodes in the roster.
 type InFlight = (Vec<(JobNumber, u64)>, Vec<Slot>);
 
-/// The owner.
+/// State of the owner.
 #[derive(Debug)]
 pub struct Owner {
     pub(super) settings: OwnerSettings,
@@ -155,30 +180,35 @@
     pub(super) nodes: Vec<Node>,
     pub(super) by_name: HashMap<String, Slot>,
     next_session: Session,
+    /// When the owner's lease expires.
     valid_until: Time,
-    /// Until when unheard agents of a predecessor may go on.
-    pub(super) quiet_at: Option<Time>,
-    /// Nodes of the predecessor that have not been heard.
-    pub(super) unheard: BTreeSet<String>,
+    /// When the last permission granted by the predecessor has expired; `None` after the takeover.
+    pub(super) takeover_deadline: Option<Time>,
+    /// Nodes in the predecessor's roster whose agents have not reported yet.
+    pub(super) unreported: BTreeSet<String>,
     effects: Vec<Effect>,
+    /// Jobs whose records have changed since the last write.
     dirty: BTreeSet<JobNumber>,
     dirty_since: Option<Time>,
+    /// Whether the next write must not wait for more changes.
     is_urgent: bool,
     roster_changed: bool,
     in_flight: Option<InFlight>,
+    /// Ended jobs whose records have to be removed from the store.
     expired: Vec<JobNumber>,
-    pub(super) must_place: bool,
-    next_expiry: Time,
-    last_sweep: Time,
-    pub(super) press: Press,
-    /// Workers whose free room is kept for lasting tasks, during one round of placement.
-    pub(super) held: BTreeSet<Slot>,
-    /// When the learned press is stored again.
-    next_press: Time,
+    /// Whether something changed that may let waiting tasks start.
+    pub(super) placement_due: bool,
+    next_cleanup: Time,
+    last_timer_check: Time,
+    pub(super) interference: Interference,
+    /// Nodes whose free capacity is held for waiting long-running tasks during one placement round.
+    pub(super) held_nodes: BTreeSet<Slot>,
+    /// When the learned interference is written again.
+    next_interference: Time,
 }
 
 impl Owner {
-    /// Builds an owner without jobs.
+    /// Returns an owner without jobs.
     pub fn new(settings: OwnerSettings, now: Time) -> Self {
         Owner {
             settings,
@@ -187,8 +217,8 @@
             by_name: HashMap::new(),
             next_session: 0,
             valid_until: now,
-            quiet_at: None,
-            unheard: BTreeSet::new(),
+            takeover_deadline: None,
+            unreported: BTreeSet::new(),
             effects: Vec::new(),
             dirty: BTreeSet::new(),
             dirty_since: None,
@@ -196,32 +226,32 @@
             roster_changed: false,
             in_flight: None,
             expired: Vec::new(),
-            must_place: false,
-            next_expiry: now,
-            last_sweep: now,
-            press: Press::default(),
-            held: BTreeSet::new(),
-            next_press: now + PRESS_INTERVAL,
+            placement_due: false,
+            next_cleanup: now,
+            last_timer_check: now,
+            interference: Interference::default(),
+            held_nodes: BTreeSet::new(),
+            next_interference: now + INTERFERENCE_INTERVAL,
         }
     }
 
-    /// Until when this process owns the work, by its own clock.
-    pub fn set_valid(&mut self, until: Time) {
+    /// Sets the time at which this process's lease expires, by its own clock.
+    pub fn set_valid_until(&mut self, until: Time) {
         self.valid_until = until;
-        self.must_place = true;
+        self.placement_due = true;
     }
 
-    /// Tells whether starts and permissions may be given.
+    /// Tells whether the lease is valid, so that starts may be sent and permissions granted.
     pub fn is_valid(&self, now: Time) -> bool {
         now < self.valid_until
     }
 
-    /// Goes on under a later epoch after a lapse in which nobody else owned the work.
+    /// Sets a higher epoch after the lease expired and no other process acquired it.
     pub fn set_epoch(&mut self, epoch: u32) {
         self.settings.epoch = epoch;
     }
 
-    /// Returns what the shell has to do.
+    /// Takes the side effects that the caller has to perform.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
@@ -230,13 +260,13 @@
         self.effects.push(Effect::Log(Decision { event, job, detail }));
     }
 
-    pub(super) fn send(&mut self, slot: Slot, message: Down) {
+    pub(super) fn send(&mut self, slot: Slot, message: OwnerMessage) {
         if let Some(session) = self.nodes[slot].session {
             self.effects.push(Effect::Send { slot, session, message });
         }
     }
 
-    /// Adds a job that was accepted, unless it is known.
+    /// Adds an accepted job; does nothing if the job is already known.
     pub fn submit(&mut self, now: Time, number: JobNumber, spec: JobSpec) {
         if self.jobs.contains_key(&number) {
             return;
@@ -260,14 +290,15 @@
         is_inherited: bool,
     ) {
         let objective_ms = spec.queue.stretch * spec.chain_ms() as f64 + spec.queue.slack_ms as f64;
-        let work = spec.steps.iter().map(|s| s.need.cpu_milli * s.estimate_ms * u64::from(s.count));
+        let remaining_work =
+            spec.steps.iter().map(|s| s.need.cpu_milli * s.estimate_ms * u64::from(s.count));
         let mut job = Job {
-            work: work.sum(),
+            remaining_work: remaining_work.sum(),
             objective: now + Duration::from_millis(objective_ms as u64),
             spec: Arc::new(spec),
             occurrences: BTreeMap::new(),
             next_occurrence: 0,
-            since: now,
+            released_at: now,
             phase: progress.phase,
             has_cancel: false,
             is_inherited,
@@ -280,23 +311,23 @@
             job.restore(&progress);
         }
         self.jobs.insert(number, job);
-        self.must_place = true;
+        self.placement_due = true;
     }
 
-    /// Notes a stored cancel.
+    /// Handles a stored cancellation.
     pub fn cancel(&mut self, number: JobNumber) {
         let Some(job) = self.jobs.get_mut(&number) else { return };
         job.has_cancel = true;
         if job.phase.is_final() {
-            self.touch(number, true);
+            self.mark_dirty(number, true);
             return;
         }
         self.log("job_cancelled", Some(number), String::new());
-        self.finish(number, Phase::Cancelled);
+        self.finish_job(number, Phase::Cancelled);
     }
 
-    /// Ends a job: nothing more starts, and what runs is stopped.
-    pub(super) fn finish(&mut self, number: JobNumber, phase: Phase) {
+    /// Ends a job: clears its waiting tasks and stops its runs.
+    pub(super) fn finish_job(&mut self, number: JobNumber, phase: Phase) {
         let Some(job) = self.jobs.get_mut(&number) else { return };
         job.phase = phase;
         let mut stops = Vec::new();
@@ -318,13 +349,13 @@
             }
         }
         for (slot, task, run) in stops {
-            self.send(slot, Down::Stop { task, run });
+            self.send(slot, OwnerMessage::Stop { task, run });
         }
-        self.touch(number, true);
+        self.mark_dirty(number, true);
     }
 
-    /// Marks a job's record as changed.
-    pub(super) fn touch(&mut self, number: JobNumber, is_urgent: bool) {
+    /// Marks a job's record as changed, so that the next write includes it.
+    pub(super) fn mark_dirty(&mut self, number: JobNumber, is_urgent: bool) {
         if let Some(job) = self.jobs.get_mut(&number) {
             job.version += 1;
             self.dirty.insert(number);
@@ -332,7 +363,7 @@
         }
     }
 
-    /// Opens a session for the agent on `name`; an older one ends.
+    /// Opens a session for the agent on the node `name` and ends any older one.
     pub fn connect(&mut self, now: Time, name: &str) -> (Slot, Session, Token) {
         let slot = match self.by_name.get(name) {
             Some(slot) => *slot,
@@ -349,7 +380,7 @@
         (slot, self.next_session, session_token(self.settings.epoch, self.next_session))
     }
 
-    /// Notes that a session has ended.
+    /// Handles the end of a session.
     pub fn disconnect(&mut self, slot: Slot, session: Session) {
         let node = &mut self.nodes[slot];
         if node.session == Some(session) {
@@ -360,57 +391,67 @@
         }
     }
 
-    /// Applies a message of an agent.
-    pub fn receive(&mut self, now: Time, slot: Slot, session: Session, message: Up) {
+    /// Handles a message from an agent. Messages of older sessions are ignored.
+    pub fn receive(&mut self, now: Time, slot: Slot, session: Session, message: AgentMessage) {
         if self.nodes[slot].session != Some(session) {
             return;
         }
         match message {
-            Up::Attach { worker, running, ends } => self.attach(now, slot, worker, running, ends),
-            Up::Ends { worker, ends } => self.ends(now, slot, &worker, ends),
-            Up::NotStarted { task, run, reason } => self.not_started(slot, task, run, &reason),
-            Up::Draining { worker, remaining } => self.draining(now, slot, &worker, remaining),
-            Up::Gone { worker } => {
+            AgentMessage::Attach { worker, running, ends } => {
+                self.attach(now, slot, worker, running, ends)
+            }
+            AgentMessage::Ends { worker, ends } => self.ends(now, slot, &worker, ends),
+            AgentMessage::NotStarted { task, run, reason } => {
+                self.not_started(slot, task, run, &reason)
+            }
+            AgentMessage::Draining { worker, remaining } => {
+                self.draining(now, slot, &worker, remaining)
+            }
+            AgentMessage::Gone { worker } => {
                 if self.nodes[slot].worker.as_ref().is_some_and(|known| known.id == worker) {
                     self.lose_worker(slot, "gone");
                 }
             }
-            Up::Saved { rows } => {
-                for (task, run, saved) in rows {
-                    self.save(task, run, saved);
+            AgentMessage::Checkpoints { rows } => {
+                for (task, run, checkpoint) in rows {
+                    self.save_checkpoint(task, run, checkpoint);
                 }
             }
-            Up::Stalled { task, run } => self.stalled(now, slot, task, run),
-            Up::Ping { sent, pressure, samples, alone } => {
-                self.must_place |= pressure != self.nodes[slot].pressure;
+            AgentMessage::Stalled { task, run } => self.stalled(now, slot, task, run),
+            AgentMessage::Ping { sent, pressure, samples, baselines } => {
+                self.placement_due |= pressure != self.nodes[slot].pressure;
                 self.nodes[slot].pressure = pressure;
-                self.learn_press(slot, &samples, &alone);
+                self.learn_interference(slot, &samples, &baselines);
                 let permission = match self.is_valid(now) {
                     true => {
-                        self.must_place |= now > self.nodes[slot].last_pong + PING_GAP;
+                        self.placement_due |= now > self.nodes[slot].last_pong + MAX_PING_GAP;
                         self.nodes[slot].last_pong = now;
                         self.settings.permission
                     }
                     false => Duration::ZERO,
                 };
                 let weights = self.weights(slot);
-                self.send(slot, Down::Pong { sent, permission, entries: Vec::new(), weights });
+                self.send(
+                    slot,
+                    OwnerMessage::Pong { sent, permission, entries: Vec::new(), weights },
+                );
             }
         }
     }
 
+    /// Returns the job specification and the state of a task's step, if the task exists.
     pub(super) fn step_mut(&mut self, task: &TaskId) -> Option<(&Arc<JobSpec>, &mut StepState)> {
         let job = self.jobs.get_mut(&task.job)?;
         let state = job.occurrences.get_mut(&task.occurrence)?.get_mut(usize::from(task.step))?;
         (task.index < job.spec.steps[usize::from(task.step)].count).then_some((&job.spec, state))
     }
 
-    /// Performs what is due. `wall` is the time of day.
+    /// Performs all actions that are due. `wall` is the wall-clock time.
     pub fn poll(&mut self, now: Time, wall: WallMs) {
-        self.sweep(now);
+        self.check_timers(now);
         self.release_due(now, wall);
-        if self.must_place && self.is_valid(now) {
-            self.must_place = false;
+        if self.placement_due && self.is_valid(now) {
+            self.placement_due = false;
             self.place(now);
         }
         if !self.dirty.is_empty() {
@@ -418,34 +459,34 @@
         }
     }
 
-    /// Time until the next call of [`Owner::poll`] is due, without further input.
+    /// Returns the time until the next call of [`Owner::poll`], if no event comes first.
     pub fn next_poll(&self, now: Time) -> Duration {
         match self.dirty_since {
             Some(since) if self.in_flight.is_none() => {
-                (since + COMMIT_LINGER).saturating_sub(now).min(IDLE_POLL)
+                (since + COMMIT_DELAY).saturating_sub(now).min(MAX_POLL_DELAY)
             }
-            _ => IDLE_POLL,
+            _ => MAX_POLL_DELAY,
         }
     }
 
-    /// First run number of this epoch.
+    /// Returns the first run number of this epoch.
     pub(super) fn run_base(&self) -> Run {
         self.settings.epoch.saturating_sub(1) * RUNS_PER_EPOCH + 1
     }
 
-    /// Orders one start.
+    /// Starts a task on a node: reserves resources and sends the order.
     pub(super) fn start(&mut self, slot: Slot, task: TaskId, run: Run) {
         let Some((spec, state)) = self.step_mut(&task) else { return };
         let spec = spec.clone();
         let step = &spec.steps[usize::from(task.step)];
         let key = if step.gang { 0 } else { task.index };
-        let checkpoint = state.saved.get(&key).cloned().unwrap_or_default();
+        let checkpoint = state.checkpoints.get(&key).cloned().unwrap_or_default();
         state.begin(task.index, Attempt { run, slot, is_stopping: false });
         self.reserve(slot, task, run, step);
         if let Some(job) = self.jobs.get_mut(&task.job) {
             job.phase = Phase::Running;
         }
-        let weights = self.weights_of(slot, step);
+        let weights = self.step_weights(slot, step);
         let start = Start {
             task,
             run,
@@ -455,20 +496,20 @@
             traits: traits(step),
             weights,
         };
-        self.send(slot, Down::Start(Box::new(start)));
+        self.send(slot, OwnerMessage::Start(Box::new(start)));
     }
 }
 
-/// Number that stands for a step's image.
+/// Returns the hash of a step's image name.
 pub(super) fn image_number(step: &Step) -> Image {
     hash::hash64(step.image.as_bytes()) as u32
 }
 
-/// Returns what an agent needs to know of a step's tasks.
+/// Returns the properties of a step's tasks that are sent to agents.
 pub(super) fn traits(step: &Step) -> TaskTraits {
     TaskTraits {
-        lasting: step.lasting,
-        fills: step.fills,
+        long_running: step.long_running,
+        best_effort: step.best_effort,
         target_ms: step.target_ms,
         cpu_milli: step.need.cpu_milli,
         image: image_number(step),
@@ -484,24 +525,24 @@
             last_pong: now,
             worker: None,
             used: Resources::default(),
-            lasting: Resources::default(),
+            long_running: Resources::default(),
             pressure: Pressure::default(),
-            filled: BTreeMap::new(),
+            best_effort_cpu: BTreeMap::new(),
             serving: BTreeMap::new(),
             tasks: BTreeMap::new(),
             last_end: 0,
-            unseen: VecDeque::new(),
-            streak: 0,
-            rests_until: Time::ZERO,
-            leaves_at: None,
-            foreign: BTreeSet::new(),
-            is_listed: false,
+            pending_acks: VecDeque::new(),
+            failure_streak: 0,
+            backoff_until: Time::ZERO,
+            drain_deadline: None,
+            stale_runs: BTreeSet::new(),
+            in_roster: false,
         }
     }
 }
 
 impl Job {
-    /// Opens the occurrences that the record names; an untimed job has one.
+    /// Opens the occurrences in the record. A job without a timetable has exactly one.
     fn restore(&mut self, progress: &Progress) {
         let recorded = progress.steps.keys().map(|(occurrence, _)| occurrence + 1).max();
         let open = match self.spec.timetable {
@@ -514,7 +555,7 @@
         self.next_occurrence = open;
     }
 
-    /// Makes the tasks of an occurrence wait.
+    /// Opens an occurrence: its unfinished tasks wait to be started.
     pub(super) fn open(&mut self, occurrence: u32, progress: &Progress) {
         let steps = self.spec.steps.iter().enumerate().map(|(number, step)| {
             StepState::restore(step, progress.steps.get(&(occurrence, number as u16)))
@@ -522,7 +563,7 @@
         self.occurrences.insert(occurrence, steps.collect());
     }
 
-    /// Tells whether all tasks of all occurrences are done.
+    /// Tells whether all occurrences are due and all their tasks done.
     fn is_complete(&self) -> bool {
         let times = self.spec.timetable.map_or(1, |table| table.times);
         self.next_occurrence >= times
@@ -532,6 +573,7 @@
                 .all(|steps| steps.iter().zip(&self.spec.steps).all(|(s, step)| s.is_done(step)))
     }
 
+    /// Returns the record to be stored. The record of an ended job holds only its phase.
     fn record(&self, number: JobNumber) -> Record {
         let mut progress = Progress { phase: self.phase, ..Progress::default() };
         if !self.phase.is_final() {
--- a/crates/core/src/flow/owner/room.rs
+++ b/crates/core/src/flow/owner/reservations.rs
@@ -1,35 +1,36 @@
-//! What tasks reserve on their workers.
+//! Bookkeeping of the resources that tasks reserve on nodes.
 
 use super::{image_number, Node, Owner, Slot};
 use crate::flow::model::{Run, Step, TaskId};
 
 impl Owner {
-    /// Gives the reservation of a task back.
+    /// Releases the resources reserved for a task on a node.
     pub(in crate::flow) fn release(&mut self, slot: Slot, task: &TaskId, step: &Step) {
         let node = &mut self.nodes[slot];
         if node.tasks.remove(task).is_some() {
             node.used = node.used.minus(&step.reserved());
-            if step.lasting {
-                node.lasting = node.lasting.minus(&step.need);
+            if step.long_running {
+                node.long_running = node.long_running.minus(&step.need);
             }
-            node.tally(step, |known, change| known - change);
+            node.update_totals(step, |known, change| known - change);
         }
-        self.must_place = true;
+        self.placement_due = true;
     }
 
-    /// Takes a reservation for a task.
+    /// Reserves resources for a task on a node.
     pub(in crate::flow) fn reserve(&mut self, slot: Slot, task: TaskId, run: Run, step: &Step) {
         let node = &mut self.nodes[slot];
         if node.tasks.insert(task, run).is_none() {
             node.used = node.used.plus(&step.reserved());
-            if step.lasting {
-                node.lasting = node.lasting.plus(&step.need);
+            if step.long_running {
+                node.long_running = node.long_running.plus(&step.need);
             }
-            node.tally(step, |known, change| known + change);
+            node.update_totals(step, |known, change| known + change);
         }
     }
 
-    /// Forgets the run of a task on a worker. The task waits again unless its job has ended.
+    /// Removes a run and releases its resources; returns its node. The task is requeued unless it
+    /// is done or its job has ended.
     pub(in crate::flow) fn drop_run(&mut self, task: &TaskId, run: Run) -> Option<Slot> {
         let is_final = self.jobs.get(&task.job)?.phase.is_final();
         let (spec, state) = self.step_mut(task)?;
@@ -47,12 +48,12 @@
 }
 
 impl Node {
-    /// Changes the sums by image by one task of `step`.
-    fn tally(&mut self, step: &Step, change: impl Fn(u64, u64) -> u64) {
-        if step.fills {
-            let cpu = self.filled.entry(image_number(step)).or_default();
+    /// Adds or removes one task of `step` in the totals by image.
+    fn update_totals(&mut self, step: &Step, change: impl Fn(u64, u64) -> u64) {
+        if step.best_effort {
+            let cpu = self.best_effort_cpu.entry(image_number(step)).or_default();
             *cpu = change(*cpu, step.need.cpu_milli);
-            self.filled.retain(|_, cpu| *cpu > 0);
+            self.best_effort_cpu.retain(|_, cpu| *cpu > 0);
         }
         if step.target_ms > 0 {
             let (count, _) = self.serving.entry(image_number(step)).or_default();
--- /dev/null
+++ b/crates/core/src/flow/place/best_effort.rs
@@ -0,0 +1,152 @@
+//! Placement of best-effort tasks: where they get CPU, and with which serving tasks they interfere.
+
+use crate::flow::interference::Share;
+use crate::flow::message::{Image, Sample};
+use crate::flow::model::Step;
+use crate::flow::owner::{image_number, Node, Owner, Slot};
+
+/// Minimum free CPU, in percent of its request, for a large best-effort task on a node that has no
+/// other best-effort task.
+const MIN_BEST_EFFORT_PERCENT: u64 = 50;
+/// Assumed CPU usage of long-running tasks, in percent of their reservation. Best-effort tasks that
+/// used up to 70 % of a worker beside them were not slowed down.
+const LONG_RUNNING_USE_PERCENT: u64 = 40;
+/// Maximum expected tail latency, in percent of its target, at which a node gets more best-effort
+/// tasks. Above this the tasks that it already has finish sooner without new ones.
+const MAX_TAIL_PERCENT: f64 = 75.0;
+/// Rise of the logarithm of a tail latency up to which interference is ignored. It is smaller than
+/// the change that the serving tasks' own load causes within a second.
+const MIN_RISE: f64 = 0.02;
+/// CPU that best-effort tasks may use, in percent of their request, below which a node gets no more
+/// best-effort tasks that interfere with its serving tasks.
+const MIN_PRESSURE_LEVEL: u32 = 50;
+/// Safety factor on the expected rise caused by a new best-effort task. Tail latencies near their
+/// target rose by two to three times the prediction of the weights, which are learned at lower
+/// ones.
+const RISE_SAFETY_FACTOR: f64 = 2.0;
+/// Weight of the rise of the expected tail latency in the cost of a node, relative to the tail
+/// latency itself and to the share of CPU that best-effort tasks request.
+const RISE_WEIGHT: f64 = 2.0;
+
+impl Node {
+    /// Returns the CPU requested by all best-effort tasks, in thousandths of a core.
+    pub(in crate::flow) fn total_best_effort_cpu(&self) -> u64 {
+        self.best_effort_cpu.values().sum()
+    }
+
+    /// Returns the CPU that more best-effort tasks can expect to get, in thousandths of a core.
+    fn spare_cpu(&self) -> u64 {
+        let idle = self.long_running.cpu_milli * (100 - LONG_RUNNING_USE_PERCENT) / 100;
+        (self.cpu_capacity() + idle)
+            .saturating_sub(self.used.cpu_milli + self.total_best_effort_cpu())
+    }
+
+    /// Returns the number of serving images on the node other than the step's own; 0 if the step
+    /// does not serve. Nodes with few serving images leave more nodes free of interference for
+    /// best-effort tasks.
+    pub(super) fn other_serving_images(&self, step: &Step) -> usize {
+        let own = image_number(step);
+        match step.target_ms {
+            0 => 0,
+            _ => self.serving.keys().filter(|image| **image != own).count(),
+        }
+    }
+
+    /// Returns the shares of the worker's CPU that the best-effort images request.
+    fn shares(&self) -> Vec<Share> {
+        self.best_effort_cpu.iter().map(|(image, cpu)| (*image, self.share(*cpu))).collect()
+    }
+
+    /// Returns a CPU amount as a fraction of the worker's CPU.
+    fn share(&self, cpu: u64) -> f64 {
+        cpu as f64 / self.cpu_capacity().max(1) as f64
+    }
+
+    /// Tells whether the CPU for one more best-effort task is free beside `planned` tasks of
+    /// the same step that are about to start.
+    pub(super) fn best_effort_fits(&self, step: &Step, planned: u64) -> bool {
+        let need = step.need.cpu_milli;
+        let free = self.spare_cpu().saturating_sub(planned * need);
+        let is_large = need > self.cpu_capacity() / 2;
+        let is_first = self.total_best_effort_cpu() == 0 && is_large;
+        free >= need || (is_first && free * 100 >= need * MIN_BEST_EFFORT_PERCENT)
+    }
+}
+
+impl Owner {
+    /// Updates the learned interference and baselines from a ping of a node's agent.
+    pub(in crate::flow) fn learn_interference(
+        &mut self,
+        slot: Slot,
+        samples: &[Sample],
+        baselines: &[(Image, u32)],
+    ) {
+        let node = &mut self.nodes[slot];
+        for sample in samples {
+            self.interference.learn(sample, node.cpu_capacity());
+        }
+        for (image, percent) in baselines {
+            if let Some((_, baseline)) = node.serving.get_mut(image) {
+                baseline.learn(*percent);
+            }
+        }
+    }
+
+    /// Returns the interference weights of a best-effort step on the serving images of a node.
+    pub(in crate::flow) fn step_weights(&self, slot: Slot, step: &Step) -> Vec<(Image, u32)> {
+        let best_effort = image_number(step);
+        let weight = |image: &Image| (*image, self.interference.scaled_weight(*image, best_effort));
+        match step.best_effort {
+            true => self.nodes[slot].serving.keys().map(weight).collect(),
+            false => Vec::new(),
+        }
+    }
+
+    /// Returns the interference weights of all pairs of a serving and a best-effort image on a
+    /// node.
+    pub(in crate::flow) fn weights(&self, slot: Slot) -> Vec<(Image, Image, u32)> {
+        let node = &self.nodes[slot];
+        let pairs =
+            node.best_effort_cpu.keys().flat_map(|f| node.serving.keys().map(move |s| (*s, *f)));
+        pairs.map(|(s, f)| (s, f, self.interference.scaled_weight(s, f))).collect()
+    }
+
+    /// Returns the highest expected tail latency with all best-effort tasks of the node at full
+    /// pace and `count` more tasks of a step, in percent of its target, and the part that the new
+    /// tasks cause. Serving images on which the step has no significant effect are ignored.
+    fn expected_tail(&self, node: &Node, step: &Step, count: u64) -> (f64, f64) {
+        let shares = node.shares();
+        let own = [(image_number(step), node.share(step.need.cpu_milli * count))];
+        let mut worst = (0.0, 0.0);
+        for (image, (_, baseline)) in &node.serving {
+            let more = self.interference.rise(*image, &own);
+            let before = self.interference.rise(*image, &shares);
+            let (tail, rise) =
+                (baseline.tail(before + RISE_SAFETY_FACTOR * more), baseline.tail(before));
+            if more > MIN_RISE && tail > worst.0 {
+                worst = (tail, tail - rise);
+            }
+        }
+        worst
+    }
+
+    /// Tells whether one more best-effort task, beside `planned` ones, would interfere too
+    /// much with the serving tasks of a node. The first best-effort task on a node is always
+    /// allowed.
+    pub(super) fn would_interfere(&self, node: &Node, step: &Step, planned: u64) -> bool {
+        let (tail, rise) = self.expected_tail(node, step, planned + 1);
+        node.total_best_effort_cpu() > 0
+            && rise > 0.0
+            && (node.pressure.level < MIN_PRESSURE_LEVEL || tail > MAX_TAIL_PERCENT)
+    }
+
+    /// Returns the cost of placing a best-effort task on a node, beside `planned_cpu` thousandths
+    /// of a core of planned tasks. The cost grows with the best-effort load, the expected tail
+    /// latency and its rise.
+    pub(super) fn best_effort_cost(&self, node: &Node, step: &Step, planned_cpu: u64) -> u64 {
+        let share = ((node.total_best_effort_cpu() + planned_cpu) * 100
+            / node.cpu_capacity().max(1)) as f64;
+        let (tail, rise) = self.expected_tail(node, step, 1);
+        (share + tail + RISE_WEIGHT * rise) as u64
+    }
+}
--- /dev/null
+++ b/crates/core/tests/flow/interference.rs
@@ -0,0 +1,81 @@
+//! Tests of the learned interference between pairs of images.
+
+use std::collections::BTreeMap;
+
+use peridotfold_core::flow::interference::Interference;
+use peridotfold_core::flow::message::{Image, Sample};
+use peridotfold_core::flow::model::TaskId;
+use peridotfold_core::flow::pace::{BestEffortTask, ServingTask};
+use peridotfold_core::flow::sampler::Sampler;
+
+use crate::support::ms;
+
+const ROOM: u64 = 16_000;
+
+/// Guards against mistaking a pair with strong interference for a weak one. In the enlarged auction
+/// workload scenario one pair in five interferes ten times as strongly as the others. Only tail
+/// latencies show which, and these vary by a third between listings due to the serving tasks' own
+/// load.
+#[test]
+fn strong_interference_is_told_from_weak_by_tail_latencies() {
+    let weight = |serving: Image, best_effort: Image| match (serving * 7 + best_effort * 3) % 5 {
+        0 => 4.0,
+        _ => 0.2,
+    };
+    let mut interference = Interference::default();
+    let mut random = fastrand::Rng::with_seed(7);
+    for _ in 0..6_000 {
+        let changes: Vec<(Image, i32)> =
+            (0..2).map(|_| (random.u32(0..18), random.i32(-3_200..3_200))).collect();
+        let rise = |serving: Image, own: f64| {
+            let pressed: f64 =
+                changes.iter().map(|(f, by)| weight(serving, *f) * f64::from(*by)).sum();
+            (serving, (pressed / ROOM as f64 * 1_000.0 + own) as i32)
+        };
+        let serving = [random.u32(0..9), random.u32(0..9)];
+        let rises = serving.map(|image| rise(image, 600.0 * (random.f64() - 0.5))).to_vec();
+        interference.learn(&Sample { rises, changes }, ROOM);
+    }
+    let pairs = (0..9).flat_map(|serving| (0..18).map(move |best_effort| (serving, best_effort)));
+    let (heavy, light): (Vec<_>, Vec<_>) = pairs.partition(|(s, f)| weight(*s, *f) > 1.0);
+    let known =
+        |(serving, best_effort): &(Image, Image)| interference.weight(*serving, *best_effort);
+    let lightest_heavy = heavy.iter().map(known).fold(f64::MAX, f64::min);
+    let heaviest_light = light.iter().map(known).fold(0.0, f64::max);
+    assert!(lightest_heavy > heaviest_light * 2.0, "{lightest_heavy} {heaviest_light}");
+}
+
+fn task(index: u32) -> TaskId {
+    TaskId { job: 1, occurrence: 0, step: 0, index }
+}
+
+fn serving(index: u32, image: Image, tail_ms: u64) -> ServingTask {
+    ServingTask { task: task(index), image, tail_ms, target_ms: 50 }
+}
+
+fn best_effort(index: u32, image: Image, used: u64) -> BestEffortTask {
+    BestEffortTask { task: task(index), image, cpu: 4_000, used }
+}
+
+/// Guards against learning from tasks that were not in the previous listing, or from listings so
+/// far apart that the load has changed.
+#[test]
+fn learning_uses_only_tasks_in_two_close_listings() {
+    let mut sampler = Sampler::default();
+    let first = ([serving(1, 10, 20)], [best_effort(2, 50, 1_000)]);
+    assert_eq!(sampler.observe(ms(1_000), &first.0, &first.1), None);
+    let second = (
+        [serving(1, 10, 40), serving(3, 11, 90), serving(5, 10, 0)],
+        [best_effort(2, 50, 1_000), best_effort(4, 51, 2_000)],
+    );
+    let sample =
+        sampler.observe(ms(1_500), &second.0, &second.1).expect("best-effort work was added");
+    assert_eq!(sample, Sample { rises: vec![(10, 693)], changes: vec![(51, 2_000)] });
+    let third = ([serving(1, 10, 20), serving(3, 11, 45)], [best_effort(2, 50, 1_000)]);
+    let sample =
+        sampler.observe(ms(2_000), &third.0, &third.1).expect("best-effort work was removed");
+    let rises: BTreeMap<Image, i32> = sample.rises.into_iter().collect();
+    assert_eq!(rises, BTreeMap::from([(10, -693), (11, -693)]));
+    assert_eq!(sample.changes, vec![(51, -2_000)]);
+    assert_eq!(sampler.observe(ms(4_000), &second.0, &second.1), None, "two seconds later");
+}
--- a/crates/core/tests/flow/load.rs
+++ b/crates/core/tests/flow/load.rs
@@ -1,15 +1,15 @@
-//! Patterns of heavy load.
+//! Tests of placement under heavy load and with learned interference.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use peridotfold_core::flow::message::{EndKind, Pressure, Sample, Up};
+use peridotfold_core::flow::message::{AgentMessage, EndKind, Pressure, Sample};
 use peridotfold_core::flow::model::{JobSpec, Step, TaskId};
 
 use crate::support::{job, ms, step, World};
 
-/// Plays jobs of four tasks of two seconds, one job each `gap`, on a worker that holds four tasks,
-/// and returns how many were completed within their objective of five seconds.
+/// Simulates one job each `gap` on a worker with capacity for four tasks. Each job has four tasks
+/// of two seconds. Returns the number of jobs completed within their objective of five seconds.
 fn in_time(jobs: u64, gap: Duration) -> u64 {
     let mut world = World::new(1, 4_000);
     let task_time = Duration::from_secs(2);
@@ -33,51 +33,53 @@
     world.logs.iter().filter(is_in_time).count() as u64
 }
 
-/// Guards against the pattern of the grown guide's calm day: twice as much batch work as fits, each
-/// job begun just when it can no longer be in time, so that nearly all are done and nearly all late.
+/// Guards against starting each job just when it can no longer meet its objective. With twice the
+/// load that fits, as in the calm scenario of the enlarged guide workload, nearly all jobs then
+/// complete late.
 #[test]
 fn under_twice_the_load_half_of_the_jobs_are_in_time() {
     assert!(in_time(30, Duration::from_secs(2)) >= 28, "all fit");
     let half = in_time(30, Duration::from_secs(1));
-    assert!(half >= 13, "{half} of 30 in time; room for 15");
+    assert!(half >= 13, "{half} of 30 in time; capacity for 15");
 }
 
-/// Guards against a job that never begins: on a hunted scale-2 of the guide (seed 216579984745) the
-/// largest late job waited for 48 s beside workers that were half empty, but pressed.
+/// Guards against a job that never starts. In a run of the guide workload's scale-2 scenario with
+/// seed 216579984745, found by seed search, the largest late job waited for 48 s while workers were
+/// half empty but under pressure from serving tasks.
 #[test]
-fn a_job_with_nothing_running_begins_even_on_pressed_workers() {
+fn a_job_without_runs_starts_even_on_workers_under_pressure() {
     let mut world = World::new(1, 40_000);
     let mut serving = step(1, 5_000, 0);
-    serving.lasting = true;
+    serving.long_running = true;
     serving.target_ms = 50;
     world.submit(1, job(2, vec![serving]));
-    let fill = || {
-        let mut fill = step(4, 1_000, 2_000);
-        fill.fills = true;
-        job(2, vec![fill])
+    let best_effort = || {
+        let mut step = step(4, 1_000, 2_000);
+        step.best_effort = true;
+        job(2, vec![step])
     };
-    world.submit(2, fill());
+    world.submit(2, best_effort());
     assert_eq!(world.running().len(), 5);
     world.pressure = Pressure { level: 30, tail_percent: 97 };
     world.ping();
-    world.submit(3, fill());
+    world.submit(3, best_effort());
     let begun = |world: &World| world.running().iter().filter(|(_, task)| task.job == 3).count();
     world.advance(Duration::from_secs(1));
-    assert_eq!(begun(&world), 0, "pressed workers get no more fill tasks at once");
+    assert_eq!(begun(&world), 0, "workers under pressure get no more best-effort tasks at once");
     world.advance(Duration::from_secs(3));
     assert_eq!(begun(&world), 1, "but the job has to make progress");
 }
 
-fn filler() -> Step {
-    Step { fills: true, image: "filler".to_owned(), ..step(6, 1_000, 60_000) }
+fn best_effort() -> Step {
+    Step { best_effort: true, image: "filler".to_owned(), ..step(6, 1_000, 60_000) }
 }
 
-/// Six workers, of which half serve an image that the fill tasks of job 3 were seen to disturb.
-/// Returns these and the jobs.
-fn taught() -> (World, Vec<usize>, Vec<(u64, JobSpec)>) {
+/// Returns a world of six workers, the three of them that serve the image with which the
+/// best-effort tasks of job 3 have been observed to interfere, and all jobs.
+fn trained() -> (World, Vec<usize>, Vec<(u64, JobSpec)>) {
     let mut world = World::new(6, 16_000);
     let serving = |image: &str| Step {
-        lasting: true,
+        long_running: true,
         target_ms: 50,
         image: image.to_owned(),
         per_worker: 1,
@@ -86,7 +88,7 @@
     let jobs = vec![
         (1, job(2, vec![serving("sensitive")])),
         (2, job(2, vec![serving("robust")])),
-        (3, job(2, vec![filler()])),
+        (3, job(2, vec![best_effort()])),
     ];
     world.submit(1, jobs[0].1.clone());
     world.submit(2, jobs[1].1.clone());
@@ -98,64 +100,67 @@
         for worker in &world.workers {
             let image = |task: &TaskId| worker.running[task].traits.image;
             let tasks = || worker.running.keys();
-            let Some(filler) = tasks().find(|task| task.job == 3).map(image) else { continue };
+            let Some(best_effort) = tasks().find(|task| task.job == 3).map(image) else { continue };
             let serving = tasks().find(|task| task.job < 3).expect("each worker serves");
             let rise = if serving.job == 1 { by / 2 } else { 0 };
             let sample =
-                Sample { rises: vec![(image(serving), rise)], changes: vec![(filler, by)] };
+                Sample { rises: vec![(image(serving), rise)], changes: vec![(best_effort, by)] };
             let (sent, pressure) = (world.now, Pressure { level: 100, tail_percent: 60 });
-            let up = Up::Ping { sent, pressure, samples: vec![sample], alone: Vec::new() };
+            let up =
+                AgentMessage::Ping { sent, pressure, samples: vec![sample], baselines: Vec::new() };
             world.owner.receive(world.now, worker.slot, worker.session, up);
         }
     }
     (world, sensitive, jobs)
 }
 
-/// Submits six more fill tasks; returns how many begin, and how many of them beside `sensitive`.
-fn fill(world: &mut World, sensitive: &[usize]) -> (usize, usize) {
-    world.submit(4, job(2, vec![filler()]));
+/// Submits six more best-effort tasks. Returns how many start, and how many of them on the workers
+/// in `sensitive`.
+fn start_best_effort(world: &mut World, sensitive: &[usize]) -> (usize, usize) {
+    world.submit(4, job(2, vec![best_effort()]));
     let begun: Vec<usize> =
         world.running().iter().filter(|(_, task)| task.job == 4).map(|(w, _)| *w).collect();
     (begun.len(), begun.iter().filter(|worker| sensitive.contains(worker)).count())
 }
 
-/// Guards against the pattern of the grown guide's calm day: fill tasks were spread over all workers
-/// alike, pressed tails everywhere, and were paced to half, although each image disturbs the serving
-/// tasks of a few images only.
+/// Guards against spreading best-effort tasks evenly over all workers. In the calm scenario of the
+/// enlarged guide workload this raised all tail latencies and throttled the tasks to half, although
+/// each image interferes with only a few serving images.
 #[test]
-fn fill_tasks_go_where_they_disturb_nobody() {
-    let (mut world, sensitive, _) = taught();
-    assert_eq!(fill(&mut world, &sensitive), (6, 0));
+fn best_effort_tasks_go_where_they_do_not_interfere() {
+    let (mut world, sensitive, _) = trained();
+    assert_eq!(start_best_effort(&mut world, &sensitive), (6, 0));
 }
 
-/// Guards against tails over their targets after each change of the owner: on trouble-1 of the grown
-/// guide the mean worst tail was 172 % ten seconds after all machines had lost power.
+/// Guards against tail latencies above their targets after each takeover. In the trouble-1 scenario
+/// of the enlarged guide workload the mean worst tail latency was 172 % of its target ten seconds
+/// after all machines had lost power.
 #[test]
-fn a_successor_knows_which_fill_tasks_disturb_whom() {
-    let (mut world, sensitive, jobs) = taught();
+fn a_successor_takes_over_the_learned_interference() {
+    let (mut world, sensitive, jobs) = trained();
     world.advance(Duration::from_secs(6));
     world.end_all(EndKind::Done, |task| task.job == 3 && task.index == 0);
     world.advance(Duration::from_secs(1));
     world.take_over(&jobs);
     (0..6).for_each(|index| world.attach(index));
     world.advance(Duration::from_secs(1));
-    assert_eq!(fill(&mut world, &sensitive), (6, 0));
+    assert_eq!(start_best_effort(&mut world, &sensitive), (6, 0));
 }
 
-/// Guards against a lasting task that stays away because small tasks take each processor that becomes
-/// free: on a hunted day of the grown auction (lost-answers-in-burst, seed 723468889980) four stayed
-/// away beside a long queue.
+/// Guards against a long-running task that is not restarted because small tasks take all CPU that
+/// becomes free. In the enlarged auction workload's lost-answers-in-burst scenario with seed
+/// 723468889980, found by seed search, four tasks stayed down while a long queue was served.
 #[test]
-fn a_lasting_task_that_ended_gets_its_room_back_from_a_queue_of_small_tasks() {
+fn a_long_running_task_regains_its_capacity_from_a_queue_of_small_tasks() {
     let mut world = World::new(2, 4_000);
-    let lasting = Step { lasting: true, ..step(1, 3_000, 100) };
-    world.submit(1, job(2, vec![lasting]));
+    let long_running = Step { long_running: true, ..step(1, 3_000, 100) };
+    world.submit(1, job(2, vec![long_running]));
     world.advance(Duration::from_secs(10));
     for number in 2..60 {
         world.submit(number, job(2, vec![step(1, 1_000, 4_000)]));
     }
     world.end_all(EndKind::Failed, |task| task.job == 1);
-    // One small task at a time ends, so that three processors are never free at once by chance.
+    // Small tasks end one at a time, so that three cores are never free at once by chance.
     for _ in 0..8 {
         world.advance(ms(500));
         let small = world.running().into_iter().find(|(_, task)| task.job > 1).map(|(_, t)| t);
--- a/crates/core/tests/flow/place.rs
+++ b/crates/core/tests/flow/place.rs
@@ -1,26 +1,26 @@
-//! Where tasks may run.
+//! Tests of placement: gangs, draining workers, labels and limits.
 
 use std::collections::BTreeSet;
 
-use peridotfold_core::flow::message::{EndKind, Up};
+use peridotfold_core::flow::message::{AgentMessage, EndKind};
 use peridotfold_core::flow::model::Step;
 use peridotfold_core::resources::Resources;
 
 use crate::support::{job, ms, step, World};
 
-/// Guards against members of a gang that wait on workers for others which have no room.
+/// Guards against starting some tasks of a gang while there is no capacity for the others.
 #[test]
 fn a_gang_starts_as_a_whole_or_not_at_all() {
     let mut world = World::new(2, 1_000);
     let gang = |count| Step { gang: true, ..step(count, 900, 500) };
     world.submit(1, job(2, vec![gang(3)]));
-    assert!(world.started.is_empty(), "there is room for two of three");
+    assert!(world.started.is_empty(), "there is capacity for two of three");
     world.submit(2, job(2, vec![gang(2)]));
     let runs: BTreeSet<u32> = world.started.iter().map(|(_, _, _, run)| *run).collect();
     assert_eq!((world.started.len(), runs.len()), (2, 1), "all members share a run");
 }
 
-/// Guards against a gang that runs on after one of its members has ended.
+/// Guards against a gang that continues after one of its tasks has ended.
 #[test]
 fn a_gang_that_lost_a_member_is_stopped_and_starts_again_as_a_whole() {
     let mut world = World::new(2, 1_000);
@@ -33,16 +33,16 @@
     assert!(again.iter().all(|run| *run == again[0] && *run > first), "{again:?}");
 }
 
-/// Guards against a start on a worker that has said that it leaves.
+/// Guards against a start on a draining worker, and against long-running tasks that stay on it.
 #[test]
-fn a_draining_worker_gets_no_starts_and_lasting_tasks_leave_it() {
+fn a_draining_worker_gets_no_starts_and_long_running_tasks_leave_it() {
     let mut world = World::new(2, 1_000);
-    world.submit(1, job(2, vec![Step { lasting: true, ..step(1, 500, 0) }]));
+    world.submit(1, job(2, vec![Step { long_running: true, ..step(1, 500, 0) }]));
     let (home, _) = world.running()[0];
     let (slot, session) = (world.workers[home].slot, world.workers[home].session);
     let worker = world.workers[home].info.id.clone();
     let remaining = Some(ms(2_000));
-    world.owner.receive(world.now, slot, session, Up::Draining { worker, remaining });
+    world.owner.receive(world.now, slot, session, AgentMessage::Draining { worker, remaining });
     world.settle();
     world.submit(2, job(2, vec![step(2, 200, 500)]));
     let places: BTreeSet<usize> = world.running().iter().map(|(worker, _)| *worker).collect();
@@ -50,14 +50,14 @@
     assert_eq!(world.running().len(), 3);
 }
 
-/// Guards against a start beyond a step's limit for each worker, without its label, or on a worker of
-/// another service.
+/// Guards against starts that exceed a step's limit per worker, ignore its required label, or use a
+/// worker of another service.
 #[test]
 fn labels_services_and_limits_for_each_worker_bind() {
     let mut world = World::new(4, 10_000);
     world.submit(1, job(2, vec![Step { per_worker: 1, ..step(6, 100, 500) }]));
     assert_eq!(world.running().len(), 4, "one on each worker");
-    let labelled = Step { requires: Some("r1".to_owned()), ..step(3, 100, 500) };
+    let labelled = Step { required_label: Some("r1".to_owned()), ..step(3, 100, 500) };
     world.submit(2, job(2, vec![labelled]));
     let places: BTreeSet<usize> =
         world.running().iter().filter(|(_, task)| task.job == 2).map(|(w, _)| *w).collect();
@@ -68,15 +68,15 @@
     assert!(world.running().iter().all(|(_, task)| task.job != 3));
 }
 
-/// Guards against a worker that takes nothing any more because it is kept for a lasting task which
-/// other lasting tasks leave no memory for.
+/// Guards against a worker that gets no starts because its capacity is held for a long-running task
+/// that never fits there: other long-running tasks leave too little memory.
 #[test]
-fn a_worker_is_not_kept_for_a_lasting_task_that_never_fits_there() {
+fn capacity_is_not_held_for_a_long_running_task_that_never_fits() {
     let mut world = World::new(1, 4_000);
-    let lasting =
-        |memory| Step { lasting: true, need: Resources::new(500, memory, 0), ..step(1, 0, 0) };
-    world.submit(1, job(2, vec![lasting(900_000)]));
-    world.submit(2, job(2, vec![lasting(200_000)]));
+    let long_running =
+        |memory| Step { long_running: true, need: Resources::new(500, memory, 0), ..step(1, 0, 0) };
+    world.submit(1, job(2, vec![long_running(900_000)]));
+    world.submit(2, job(2, vec![long_running(200_000)]));
     world.submit(3, job(2, vec![step(2, 1_000, 500)]));
     let begun: Vec<_> = world.running().iter().map(|(_, task)| task.job).collect();
     assert_eq!(begun, [1, 3, 3]);
--- a/crates/core/tests/flow/support.rs
+++ b/crates/core/tests/flow/support.rs
@@ -1,10 +1,10 @@
-//! An owner with workers that do what they are told.
+//! Test harness: an owner with simulated workers that carry out all orders.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use peridotfold_core::flow::message::{
-    Down, End, EndKind, Pressure, Running, Start, Up, WorkerInfo,
+    AgentMessage, End, EndKind, OwnerMessage, Pressure, Running, Start, WorkerInfo,
 };
 use peridotfold_core::flow::model::{JobNumber, JobSpec, Queue, Run, Step, TaskId};
 use peridotfold_core::flow::owner::{Commit, Effect, Owner, OwnerSettings, Session, Slot};
@@ -53,7 +53,7 @@
     }
 }
 
-/// A worker as its agent reports it.
+/// A simulated worker and its agent's session.
 #[derive(Debug, Clone)]
 pub struct Worker {
     pub info: WorkerInfo,
@@ -61,11 +61,11 @@
     pub session: Session,
     pub running: BTreeMap<TaskId, Start>,
     pub ends: Vec<End>,
-    pub seen: u64,
+    pub acknowledged: u64,
     next_end: u64,
 }
 
-/// The owner, its workers and the time.
+/// The owner, the simulated workers, the store's contents and the clock.
 #[derive(Debug)]
 pub struct World {
     pub now: Time,
@@ -75,9 +75,9 @@
     pub stopped: Vec<(TaskId, Run)>,
     pub started: Vec<(Time, usize, TaskId, Run)>,
     pub logs: Vec<(&'static str, String)>,
-    /// What agents report of their serving tasks.
+    /// Pressure that all agents report.
     pub pressure: Pressure,
-    /// Whether the store takes writes.
+    /// Whether the store accepts writes.
     pub store_is_up: bool,
 }
 
@@ -95,7 +95,7 @@
             pressure: Pressure::default(),
             store_is_up: true,
         };
-        world.owner.set_valid(Time::MAX);
+        world.owner.set_valid_until(Time::MAX);
         for index in 0..workers {
             world.add_worker(index, cpu);
         }
@@ -108,7 +108,7 @@
             id: format!("life-{index}"),
             service: "svc".to_owned(),
             zone: "zone".to_owned(),
-            room: Resources::new(cpu, 1_000_000, 0),
+            capacity: Resources::new(cpu, 1_000_000, 0),
             labels: vec!["a".to_owned(), format!("r{}", index / 3)],
             draining: false,
             remaining: None,
@@ -120,7 +120,7 @@
             session,
             running: BTreeMap::new(),
             ends: Vec::new(),
-            seen: 0,
+            acknowledged: 0,
             next_end: 1,
         };
         self.workers.push(worker);
@@ -134,17 +134,17 @@
         self.workers[index].session = session;
     }
 
-    /// Reports all of a worker in its session.
+    /// Reports the full state of a worker in its session.
     pub fn attach(&mut self, index: usize) {
         let worker = &self.workers[index];
         let running = worker.running.values().map(|start| Running {
             task: start.task,
             run: start.run,
-            saved: String::new(),
+            checkpoint: String::new(),
             percent: 0,
             load: 0,
         });
-        let up = Up::Attach {
+        let up = AgentMessage::Attach {
             worker: Some(worker.info.clone()),
             running: running.collect(),
             ends: worker.ends.clone(),
@@ -153,23 +153,23 @@
         self.owner.receive(self.now, slot, session, up);
     }
 
-    /// Replaces the owner by a new one that reads what was written.
+    /// Replaces the owner with a new one that loads the committed records.
     pub fn take_over(&mut self, jobs: &[(JobNumber, JobSpec)]) {
         let epoch = 2;
         let mut records: BTreeMap<JobNumber, Progress> = BTreeMap::new();
         let mut roster = Vec::new();
-        let mut press = Vec::new();
+        let mut interference = Vec::new();
         for commit in &self.commits {
-            press = commit.press.clone().unwrap_or(press);
+            interference = commit.interference.clone().unwrap_or(interference);
             for record in &commit.records {
                 records.insert(record.job, record.progress.clone());
             }
             roster = commit.roster.clone().unwrap_or(roster);
         }
         self.owner = Owner::new(settings(epoch), self.now);
-        self.owner.set_valid(Time::MAX);
+        self.owner.set_valid_until(Time::MAX);
         self.owner.set_predecessor(self.now, roster);
-        self.owner.inherit_press(&press);
+        self.owner.inherit_interference(&interference);
         for (number, spec) in jobs {
             let progress = records.remove(number).unwrap_or_default();
             self.owner.inherit(self.now, *number, spec.clone(), progress);
@@ -179,7 +179,7 @@
         }
     }
 
-    /// Performs effects and writes until nothing changes.
+    /// Applies effects and writes until nothing changes.
     pub fn settle(&mut self) {
         for _ in 0..20 {
             self.owner.poll(self.now, 0);
@@ -199,42 +199,43 @@
         }
     }
 
-    fn deliver(&mut self, session: Session, message: Down) {
+    fn deliver(&mut self, session: Session, message: OwnerMessage) {
         let Some(index) = self.workers.iter().position(|worker| worker.session == session) else {
             return;
         };
         match message {
-            Down::Start(start) => {
+            OwnerMessage::Start(start) => {
                 self.started.push((self.now, index, start.task, start.run));
                 self.workers[index].running.insert(start.task, *start);
             }
-            Down::Stop { task, run } => {
+            OwnerMessage::Stop { task, run } => {
                 self.stopped.push((task, run));
                 if self.workers[index].running.contains_key(&task) {
                     self.end(index, task, EndKind::Stopped);
                 }
             }
-            Down::Seen { number, .. } => {
+            OwnerMessage::Seen { number, .. } => {
                 let worker = &mut self.workers[index];
-                worker.seen = number;
+                worker.acknowledged = number;
                 worker.ends.retain(|end| end.number > number);
             }
             _ => {}
         }
     }
 
-    /// Ends a task on a worker and reports it.
+    /// Ends a run on a worker and reports the end.
     pub fn end(&mut self, index: usize, task: TaskId, kind: EndKind) {
         let worker = &mut self.workers[index];
         let Some(start) = worker.running.remove(&task) else { return };
-        let end = End { number: worker.next_end, task, run: start.run, kind, saved: String::new() };
+        let end =
+            End { number: worker.next_end, task, run: start.run, kind, checkpoint: String::new() };
         worker.next_end += 1;
         worker.ends.push(end.clone());
-        let up = Up::Ends { worker: worker.info.id.clone(), ends: vec![end] };
+        let up = AgentMessage::Ends { worker: worker.info.id.clone(), ends: vec![end] };
         self.owner.receive(self.now, worker.slot, worker.session, up);
     }
 
-    /// Ends every running task that `pick` names.
+    /// Ends all running tasks that `pick` selects.
     pub fn end_all(&mut self, kind: EndKind, pick: impl Fn(&TaskId) -> bool) {
         for index in 0..self.workers.len() {
             let tasks: Vec<TaskId> =
@@ -256,14 +257,14 @@
         }
     }
 
-    /// Lets every agent ask for permission.
+    /// Sends a ping from every agent.
     pub fn ping(&mut self) {
         for worker in &self.workers {
-            let up = Up::Ping {
+            let up = AgentMessage::Ping {
                 sent: self.now,
                 pressure: self.pressure,
                 samples: Vec::new(),
-                alone: Vec::new(),
+                baselines: Vec::new(),
             };
             self.owner.receive(self.now, worker.slot, worker.session, up);
         }
@@ -274,7 +275,7 @@
         self.settle();
     }
 
-    /// Tasks that run, with their workers.
+    /// Returns all running tasks with the index of their worker.
     pub fn running(&self) -> Vec<(usize, TaskId)> {
         let rows = self.workers.iter().enumerate();
         rows.flat_map(|(index, worker)| worker.running.keys().map(move |task| (index, *task)))
