--- a/crates/agent/src/batch.rs
+++ b/crates/agent/src/batch.rs
@@ -16,7 +16,7 @@
 use peridotfold_core::id::{Incarnation, ServiceId};
 use peridotfold_core::message::announce::CellOwner;
 use peridotfold_core::message::report::Orders;
-use peridotfold_core::tasks::{Action, Effect, Identity, Tasks};
+use peridotfold_core::tasks::{Action, ActionResult, Identity, Tasks};
 use peridotfold_core::time::Time;
 use peridotfold_wire::error::WireError;
 use peridotfold_wire::peer::Peers;
@@ -189,7 +189,7 @@
         }
         let asked_at = runtime::now();
         let list = self.worker.list().await?;
-        self.state.lock().tasks.listed(asked_at, runtime::now(), &list);
+        self.state.lock().tasks.apply_list(asked_at, runtime::now(), &list);
         Ok(())
     }
 
@@ -245,11 +245,11 @@
         if let Some(error) = error {
             log::action_failed(&action, &error);
         }
-        let answered = matches!(effect, Effect::Done | Effect::Refused(_));
+        let answered = matches!(effect, ActionResult::Done | ActionResult::Refused(_));
         let mut state = self.state.lock();
-        state.tasks.performed(runtime::now(), &action, effect);
+        state.tasks.record_result(runtime::now(), &action, effect);
         if let (Action::Checkpoint(id), Some(taken)) = (&action, checkpoint) {
-            state.tasks.checkpointed(id, taken.checkpoint.into());
+            state.tasks.record_checkpoint(id, taken.checkpoint.into());
         }
         answered
     }
@@ -280,7 +280,7 @@
                 let ordered = has_orders(&orders);
                 let mut state = self.state.lock();
                 log::owner_reachable(&mut state.owner_ok);
-                state.tasks.obey(runtime::now(), orders);
+                state.tasks.apply_orders(runtime::now(), orders);
                 log::transitions(&mut state.tasks);
                 drop(state);
                 self.wake_worker_loop();
@@ -310,7 +310,7 @@
                 self.tasks.evict_newest(class);
             }
         }
-        self.tasks.set_colocation(self.colocation.speeds(), self.colocation.held(now));
+        self.tasks.set_colocation(self.colocation.speeds(), self.colocation.blocked_classes(now));
     }
 
     fn class_loads(&self, document: &Document) -> BTreeMap<String, ClassLoad> {
--- a/crates/agent/src/batch/worker_client.rs
+++ b/crates/agent/src/batch/worker_client.rs
@@ -7,10 +7,10 @@
 use http::{Method, Response, StatusCode};
 use peridotfold_core::message::report::AttemptId;
 use peridotfold_core::tasks::worker::{
-    task_path_id, Checkpoint, CheckpointTask, ClaimWorker, Claimed, RenewTasks, StopTask,
+    task_path_id, Checkpoint, CheckpointTask, ClaimReply, ClaimRequest, RenewTasks, StopTask,
     ThrottleTask, WorkerList,
 };
-use peridotfold_core::tasks::{Action, Effect};
+use peridotfold_core::tasks::{Action, ActionResult};
 use peridotfold_wire::error::{Step, WireError};
 use peridotfold_wire::http_client::HttpClient;
 use serde::de::DeserializeOwned;
@@ -52,7 +52,7 @@
     /// # Errors
     ///
     /// Fails when the worker does not answer in time or not as agreed.
-    pub async fn claim(&self, request: &ClaimWorker) -> Result<Option<Claimed>, WireError> {
+    pub async fn claim(&self, request: &ClaimRequest) -> Result<Option<ClaimReply>, WireError> {
         let response = self.post("/v1/claim", request).await?;
         match response.status() {
             StatusCode::CONFLICT => Ok(None),
@@ -72,14 +72,14 @@
     pub async fn perform(
         &self,
         action: &Action,
-    ) -> (Effect, Option<Checkpoint>, Option<WireError>) {
+    ) -> (ActionResult, Option<Checkpoint>, Option<WireError>) {
         match self.request(action).await {
             Ok(response) if response.status().is_success() => {
                 let wanted = matches!(action, Action::Checkpoint(_));
                 let checkpoint = wanted.then(|| self.decode(response.body()));
                 match checkpoint.transpose() {
-                    Ok(checkpoint) => (Effect::Done, checkpoint, None),
-                    Err(error) => (Effect::Unknown, None, Some(error)),
+                    Ok(checkpoint) => (ActionResult::Done, checkpoint, None),
+                    Err(error) => (ActionResult::Unknown, None, Some(error)),
                 }
             }
             Ok(response) => {
@@ -87,12 +87,12 @@
                 let status = response.status();
                 let error = self.error(Step::Receive, format!("status {status}: {detail}"));
                 match status.is_client_error() {
-                    true => (Effect::Refused(detail), None, Some(error)),
-                    false => (Effect::Unknown, None, Some(error)),
+                    true => (ActionResult::Refused(detail), None, Some(error)),
+                    false => (ActionResult::Unknown, None, Some(error)),
                 }
             }
-            Err(error) if error.is_not_sent() => (Effect::NotSent, None, Some(error)),
-            Err(error) => (Effect::Unknown, None, Some(error)),
+            Err(error) if error.is_not_sent() => (ActionResult::NotSent, None, Some(error)),
+            Err(error) => (ActionResult::Unknown, None, Some(error)),
         }
     }
 
--- a/crates/agent/tests/batch/worker_contract.rs
+++ b/crates/agent/tests/batch/worker_contract.rs
@@ -7,9 +7,9 @@
 use peridotfold_core::message::report::AttemptId;
 use peridotfold_core::resources::Resources;
 use peridotfold_core::tasks::worker::{
-    Claim, ClaimWorker, Claimed, StartTask, TaskLease, WorkerList, WorkerOutcome,
+    Claim, ClaimReply, ClaimRequest, StartTask, TaskLease, WorkerList, WorkerOutcome,
 };
-use peridotfold_core::tasks::{Action, Effect};
+use peridotfold_core::tasks::{Action, ActionResult};
 use peridotfold_standins::worker::{Options, Worker};
 use peridotfold_wire::runtime;
 
@@ -25,19 +25,19 @@
         Api { worker, client }
     }
 
-    async fn claim(&self, keep: Option<Claim>, epoch: u64) -> Option<Claimed> {
-        self.client.claim(&ClaimWorker { keep, epoch }).await.unwrap()
+    async fn claim(&self, keep: Option<Claim>, epoch: u64) -> Option<ClaimReply> {
+        self.client.claim(&ClaimRequest { keep, epoch }).await.unwrap()
     }
 
     async fn list(&self) -> WorkerList {
         self.client.list().await.unwrap()
     }
 
-    async fn perform(&self, action: Action) -> Effect {
+    async fn perform(&self, action: Action) -> ActionResult {
         self.client.perform(&action).await.0
     }
 
-    async fn start_task(&self, id: AttemptId, lease_ms: u64, command: &str) -> Effect {
+    async fn start_task(&self, id: AttemptId, lease_ms: u64, command: &str) -> ActionResult {
         let claim = self.claim(None, 0).await.unwrap().claim;
         self.start_claimed(claim, id, lease_ms, command).await
     }
@@ -48,7 +48,7 @@
         id: AttemptId,
         lease_ms: u64,
         command: &str,
-    ) -> Effect {
+    ) -> ActionResult {
         let list = self.list().await;
         self.perform(Action::Start(StartTask {
             claim,
@@ -83,15 +83,18 @@
 fn old_and_stopped_tokens_do_not_start() {
     run(async {
         let api = Api::start(Options::default()).await;
-        assert_eq!(api.start_task(attempt("j", 2, 5), 10_000, "work_ms=20").await, Effect::Done);
+        assert_eq!(
+            api.start_task(attempt("j", 2, 5), 10_000, "work_ms=20").await,
+            ActionResult::Done
+        );
         let older = api.start_task(attempt("j", 2, 4), 10_000, "work_ms=20").await;
-        assert!(matches!(older, Effect::Refused(_)));
+        assert!(matches!(older, ActionResult::Refused(_)));
         let epoch = api.start_task(attempt("j", 1, 9), 10_000, "work_ms=20").await;
-        assert!(matches!(epoch, Effect::Refused(_)));
+        assert!(matches!(epoch, ActionResult::Refused(_)));
         let barred = attempt("k", 1, 1);
-        assert_eq!(api.perform(Action::Stop(barred.clone())).await, Effect::Done);
+        assert_eq!(api.perform(Action::Stop(barred.clone())).await, ActionResult::Done);
         let late = api.start_task(barred, 10_000, "work_ms=20").await;
-        assert!(matches!(late, Effect::Refused(_)));
+        assert!(matches!(late, ActionResult::Refused(_)));
         assert_eq!(api.worker.history().len(), 1);
     });
 }
@@ -103,10 +106,10 @@
         let api = Api::start(Options::default()).await;
         let id = attempt("j", 1, 1);
         for _ in 0..3 {
-            assert_eq!(api.start_task(id.clone(), 10_000, "work_ms=50").await, Effect::Done);
+            assert_eq!(api.start_task(id.clone(), 10_000, "work_ms=50").await, ActionResult::Done);
         }
         assert_eq!(api.ended(&id).await, WorkerOutcome::Completed);
-        assert_eq!(api.start_task(id, 10_000, "work_ms=50").await, Effect::Done);
+        assert_eq!(api.start_task(id, 10_000, "work_ms=50").await, ActionResult::Done);
         assert_eq!(api.worker.history().len(), 1);
     });
 }
@@ -118,15 +121,15 @@
         let api = Api::start(Options::default()).await;
         let id = attempt("j", 1, 1);
         let stale = api.list().await;
-        assert_eq!(api.start_task(id.clone(), 100, "work_ms=60000").await, Effect::Done);
+        assert_eq!(api.start_task(id.clone(), 100, "work_ms=60000").await, ActionResult::Done);
         assert!(matches!(api.ended(&id).await, WorkerOutcome::Expired { checkpoint: Some(_) }));
         let lease = TaskLease { attempt: id.clone(), valid_until_ms: stale.now_ms + 60_000 };
         let renew =
             Action::Renew { instance: stale.instance, leases: vec![lease], until: Vec::new() };
-        assert_eq!(api.perform(renew).await, Effect::Done);
+        assert_eq!(api.perform(renew).await, ActionResult::Done);
         assert!(matches!(api.ended(&id).await, WorkerOutcome::Expired { .. }));
         let late = api.start_task(attempt("k", 1, 1), 0, "work_ms=10").await;
-        assert!(matches!(late, Effect::Refused(_)));
+        assert!(matches!(late, ActionResult::Refused(_)));
         let interval = &api.worker.history()[0];
         assert!(interval.end_us.unwrap() - interval.start_us <= 102_000);
     });
@@ -140,7 +143,7 @@
         let instance = api.list().await.instance.wrapping_add(1);
         let leases = Vec::new();
         let renew = Action::Renew { instance, leases, until: Vec::new() };
-        assert!(matches!(api.perform(renew).await, Effect::Refused(_)));
+        assert!(matches!(api.perform(renew).await, ActionResult::Refused(_)));
     });
 }
 
@@ -153,9 +156,9 @@
         let new = api.claim(None, 0).await.unwrap().claim;
         assert_eq!(api.list().await.controller, new.controller);
         let late = api.start_claimed(old, attempt("j", 1, 1), 10_000, "work_ms=10").await;
-        assert!(matches!(late, Effect::Refused(_)));
+        assert!(matches!(late, ActionResult::Refused(_)));
         let started = api.start_claimed(new, attempt("j", 1, 1), 10_000, "work_ms=10").await;
-        assert_eq!(started, Effect::Done);
+        assert_eq!(started, ActionResult::Done);
     });
 }
 
@@ -170,10 +173,10 @@
         };
         let api = Api::start(options).await;
         let id = attempt("j", 1, 1);
-        assert_eq!(api.start_task(id.clone(), 60_000, "work_ms=60000").await, Effect::Done);
+        assert_eq!(api.start_task(id.clone(), 60_000, "work_ms=60000").await, ActionResult::Done);
         let task = api.list().await.tasks.remove(0);
         assert!(task.usage.is_zero(), "usage is reported without its lag");
-        assert_eq!(api.perform(Action::Throttle(id.clone(), 50)).await, Effect::Done);
+        assert_eq!(api.perform(Action::Throttle(id.clone(), 50)).await, ActionResult::Done);
         let expected = Resources::new(1_500, 1_500, 0);
         for _ in 0..1_000 {
             if api.list().await.tasks[0].usage == expected {
@@ -184,11 +187,11 @@
         let task = api.list().await.tasks.remove(0);
         assert_eq!((task.usage, task.speed_percent), (expected, 50));
         let (effect, checkpoint, _) = api.client.perform(&Action::Checkpoint(id.clone())).await;
-        assert_eq!(effect, Effect::Done);
+        assert_eq!(effect, ActionResult::Done);
         let checkpoint = checkpoint.map(|checkpoint| checkpoint.checkpoint);
         assert_eq!(api.ended(&id).await, WorkerOutcome::Stopped { checkpoint });
         let repeated = api.perform(Action::Checkpoint(id.clone())).await;
-        assert!(matches!(repeated, Effect::Refused(_)));
+        assert!(matches!(repeated, ActionResult::Refused(_)));
     });
 }
 
@@ -198,12 +201,12 @@
     run(async {
         let api = Api::start(Options::default()).await;
         let id = attempt("j", 1, 1);
-        assert_eq!(api.start_task(id.clone(), 60_000, "work_ms=5000").await, Effect::Done);
+        assert_eq!(api.start_task(id.clone(), 60_000, "work_ms=5000").await, ActionResult::Done);
         let early = api.perform(Action::Remove(id.clone())).await;
-        assert!(matches!(early, Effect::Refused(_)));
-        assert_eq!(api.perform(Action::Stop(id.clone())).await, Effect::Done);
+        assert!(matches!(early, ActionResult::Refused(_)));
+        assert_eq!(api.perform(Action::Stop(id.clone())).await, ActionResult::Done);
         assert_eq!(api.ended(&id).await, WorkerOutcome::Stopped { checkpoint: None });
-        assert_eq!(api.perform(Action::Remove(id)).await, Effect::Done);
+        assert_eq!(api.perform(Action::Remove(id)).await, ActionResult::Done);
         assert!(api.list().await.tasks.is_empty());
     });
 }
@@ -215,8 +218,8 @@
         let options = Options { stop_time: Duration::from_millis(200), ..Options::default() };
         let api = Api::start(options).await;
         let id = attempt("j", 1, 1);
-        assert_eq!(api.start_task(id.clone(), 60_000, "work_ms=5000").await, Effect::Done);
-        assert_eq!(api.perform(Action::Stop(id.clone())).await, Effect::Done);
+        assert_eq!(api.start_task(id.clone(), 60_000, "work_ms=5000").await, ActionResult::Done);
+        assert_eq!(api.perform(Action::Stop(id.clone())).await, ActionResult::Done);
         assert!(api.list().await.tasks[0].outcome.is_none());
         assert_eq!(api.ended(&id).await, WorkerOutcome::Stopped { checkpoint: None });
         let interval = &api.worker.history()[0];
--- a/crates/bench/src/colocation/policy.rs
+++ b/crates/bench/src/colocation/policy.rs
@@ -105,7 +105,7 @@
 #[derive(Default)]
 pub struct Orders {
     pub speeds: BTreeMap<String, u8>,
-    pub held: BTreeSet<String>,
+    pub blocked_classes: BTreeSet<String>,
     pub evict: Option<String>,
 }
 
@@ -131,14 +131,18 @@
                     Some(Decision::Evict { class }) => Some(class),
                     _ => None,
                 };
-                Orders { speeds: controller.speeds(), held: controller.held(now), evict }
+                Orders {
+                    speeds: controller.speeds(),
+                    blocked_classes: controller.blocked_classes(now),
+                    evict,
+                }
             }
             Control::Thresholds(control) => {
                 let ratio = sample.latency.as_secs_f64() / alone;
                 let evict = control.observe(ratio, &sample.classes);
                 let throttled = sample.classes.keys().filter(|_| control.step > 0);
                 let speeds = throttled.map(|class| (class.clone(), STEPS[control.step]));
-                Orders { speeds: speeds.collect(), held: BTreeSet::new(), evict }
+                Orders { speeds: speeds.collect(), blocked_classes: BTreeSet::new(), evict }
             }
         }
     }
--- a/crates/bench/src/colocation/simulation.rs
+++ b/crates/bench/src/colocation/simulation.rs
@@ -119,19 +119,19 @@
             self.control_evictions += u32::from(self.tasks.evict_newest(class));
         }
         self.note_speeds(&orders.speeds);
-        self.tasks.set_colocation(orders.speeds, orders.held);
+        self.tasks.set_colocation(orders.speeds, orders.blocked_classes);
     }
 
     fn step(&mut self, now: Duration, cell: &mut Cell) {
-        self.tasks.listed(now, now, &self.worker.list(now));
+        self.tasks.apply_list(now, now, &self.worker.list(now));
         for action in self.tasks.actions(now) {
             if self.tasks.begin(now, &action) {
                 let (effect, checkpoint) = self.worker.perform(&action);
-                self.tasks.performed(now, &action, effect);
+                self.tasks.record_result(now, &action, effect);
                 if let (peridotfold_core::tasks::Action::Checkpoint(id), Some(taken)) =
                     (&action, checkpoint)
                 {
-                    self.tasks.checkpointed(id, taken.into());
+                    self.tasks.record_checkpoint(id, taken.into());
                 }
             }
         }
@@ -140,7 +140,7 @@
         cell.report(now, &report);
         let orders = cell.answer(now, &report.agent, report.incarnation, report.sequence);
         if let Some(orders) = orders {
-            self.tasks.obey(now, orders);
+            self.tasks.apply_orders(now, orders);
         }
     }
 }
--- a/crates/bench/src/colocation/worker.rs
+++ b/crates/bench/src/colocation/worker.rs
@@ -7,9 +7,9 @@
 use peridotfold_core::message::report::AttemptId;
 use peridotfold_core::resources::Resources;
 use peridotfold_core::tasks::worker::{
-    Claim, Claimed, StartTask, WorkerList, WorkerOutcome, WorkerTask,
+    Claim, ClaimReply, StartTask, WorkerList, WorkerOutcome, WorkerTask,
 };
-use peridotfold_core::tasks::{Action, Effect};
+use peridotfold_core::tasks::{Action, ActionResult};
 
 /// Work that a task repeats when it resumes from its checkpoint.
 const CHECKPOINT_LOSS_MS: u64 = 10_000;
@@ -72,9 +72,9 @@
         }
     }
 
-    pub fn claim(&self) -> Claimed {
+    pub fn claim(&self) -> ClaimReply {
         // The owner of the measured cell stays the same.
-        Claimed { claim: CLAIM, epoch: 1 }
+        ClaimReply { claim: CLAIM, epoch: 1 }
     }
 
     /// Cores in use by class.
@@ -132,7 +132,7 @@
     }
 
     /// Performs an action; returns its effect and the checkpoint if one was taken.
-    pub fn perform(&mut self, action: &Action) -> (Effect, Option<String>) {
+    pub fn perform(&mut self, action: &Action) -> (ActionResult, Option<String>) {
         match action {
             Action::Start(start) => self.start(start),
             Action::Renew { leases, .. } => {
@@ -158,7 +158,7 @@
                 self.tasks.remove(id);
             }
         }
-        (Effect::Done, None)
+        (ActionResult::Done, None)
     }
 
     fn start(&mut self, start: &StartTask) {
@@ -184,9 +184,9 @@
         self.tasks.insert(start.attempt.clone(), task);
     }
 
-    fn checkpoint(&mut self, id: &AttemptId) -> (Effect, Option<String>) {
+    fn checkpoint(&mut self, id: &AttemptId) -> (ActionResult, Option<String>) {
         let Some(task) = self.tasks.get_mut(id).filter(|task| task.info.outcome.is_none()) else {
-            return (Effect::Refused("not running".to_owned()), None);
+            return (ActionResult::Refused("not running".to_owned()), None);
         };
         let kept = task.progress_ms.saturating_sub(CHECKPOINT_LOSS_MS);
         let lost = task.core_seconds(task.progress_ms - kept);
@@ -195,7 +195,7 @@
         self.evictions += 1;
         let checkpoint = Some(kept.to_string());
         task.info.outcome = Some(WorkerOutcome::Stopped { checkpoint: checkpoint.clone() });
-        (Effect::Done, checkpoint)
+        (ActionResult::Done, checkpoint)
     }
 }
 
--- a/crates/core/src/colocation.rs
+++ b/crates/core/src/colocation.rs
@@ -174,18 +174,18 @@
     /// Classes that are not admitted for now: for a time after an eviction, and while one more task
     /// of a throttled class would slow the service down too much. Urgent classes are always
     /// admitted; other work is throttled for them.
-    pub fn held(&self, now: Time) -> BTreeSet<String> {
+    pub fn blocked_classes(&self, now: Time) -> BTreeSet<String> {
         let ratio = self.ratio();
         let crowded = |class: &str, state: &ClassState| {
             let more = self.harm(class, state) / f64::from(state.tasks.max(1));
             state.speed < 100 && more >= NEGLIGIBLE / 2.0 && ratio + more > AIM
         };
-        let held = self
+        let blocked_classes = self
             .classes
             .iter()
             .filter(|(_, state)| !state.urgent)
             .filter(|(class, state)| now < state.held_until || crowded(class, state));
-        held.map(|(class, _)| class.clone()).collect()
+        blocked_classes.map(|(class, _)| class.clone()).collect()
     }
 
     /// Slow-down of the service against its latency without interference, in percent.
--- a/crates/core/src/tasks.rs
+++ b/crates/core/src/tasks.rs
@@ -18,7 +18,7 @@
     AttemptId, Outcome, Report, RunningTask, StartOrder, TaskResult, Token,
 };
 use crate::resources::Resources;
-use crate::tasks::worker::{Claim, ClaimWorker, Claimed, StartTask, TaskLease};
+use crate::tasks::worker::{Claim, ClaimReply, ClaimRequest, StartTask, TaskLease};
 use crate::time::Time;
 
 mod effects;
@@ -68,7 +68,7 @@
 
 /// What came of an action.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Effect {
+pub enum ActionResult {
     Done,
     /// The worker refused it; it had no effect.
     Refused(String),
@@ -234,13 +234,13 @@
 
     /// Returns the claim to make before the worker's tasks are listed: when there is none, and when
     /// the worker does not keep the epoch that was seen.
-    pub fn claim_request(&self) -> Option<ClaimWorker> {
+    pub fn claim_request(&self) -> Option<ClaimRequest> {
         let due = self.claim.is_none() || self.kept_epoch < self.epoch;
-        due.then_some(ClaimWorker { keep: self.claim, epoch: self.epoch })
+        due.then_some(ClaimRequest { keep: self.claim, epoch: self.epoch })
     }
 
     /// Records the reply to a claim.
-    pub fn claimed(&mut self, claimed: Claimed) {
+    pub fn claimed(&mut self, claimed: ClaimReply) {
         self.claim = Some(claimed.claim);
         self.kept_epoch = claimed.epoch;
         self.epoch = self.epoch.max(claimed.epoch);
--- a/crates/core/src/tasks/effects.rs
+++ b/crates/core/src/tasks/effects.rs
@@ -7,7 +7,7 @@
 use crate::tasks::worker::{Claim, StartTask, TaskLease};
 use crate::time::Time;
 
-use super::{Action, Attempt, Cause, Effect, Phase, Tasks, WorkerClock, STOP_REPEAT};
+use super::{Action, ActionResult, Attempt, Cause, Phase, Tasks, WorkerClock, STOP_REPEAT};
 
 impl Tasks {
     /// Returns the effects that are due. Those that fail are returned again by later calls.
@@ -66,28 +66,30 @@
     }
 
     /// Takes the result of an action. A checkpoint is given with [`Tasks::checkpointed`].
-    pub fn performed(&mut self, now: Time, action: &Action, effect: Effect) {
+    pub fn record_result(&mut self, now: Time, action: &Action, effect: ActionResult) {
         match (action, effect) {
-            (Action::Start(start), Effect::Done) => self.started(now, &start.attempt),
-            (Action::Start(start), Effect::Refused(reason)) => {
+            (Action::Start(start), ActionResult::Done) => self.started(now, &start.attempt),
+            (Action::Start(start), ActionResult::Refused(reason)) => {
                 self.start_refused(now, &start.attempt, reason);
             }
-            (Action::Start(start), Effect::Unknown) => {
+            (Action::Start(start), ActionResult::Unknown) => {
                 if let Some(attempt) = self.attempts.get_mut(&start.attempt) {
                     attempt.in_doubt = true;
                 }
             }
-            (Action::Renew { leases, until, .. }, Effect::Done) => self.renewed(leases, until),
-            (Action::Stop(id), Effect::Done) => self.stop_accepted(now, id),
+            (Action::Renew { leases, until, .. }, ActionResult::Done) => {
+                self.renewed(leases, until)
+            }
+            (Action::Stop(id), ActionResult::Done) => self.stop_accepted(now, id),
             // Without a checkpoint the task is stopped plainly, which also bars a late start.
-            (Action::Checkpoint(id), Effect::Refused(_)) => self.checkpoint_failed(id),
-            (Action::Throttle(id, percent), Effect::Done) => {
+            (Action::Checkpoint(id), ActionResult::Refused(_)) => self.checkpoint_failed(id),
+            (Action::Throttle(id, percent), ActionResult::Done) => {
                 if let Some(attempt) = self.attempts.get_mut(id) {
                     attempt.worker_speed = *percent;
                 }
                 self.event("attempt_throttled", Some(id), format!("speed_percent={percent}"));
             }
-            (Action::Remove(id), Effect::Done) => {
+            (Action::Remove(id), ActionResult::Done) => {
                 self.removable.remove(id);
             }
             _ => {}
@@ -95,7 +97,7 @@
     }
 
     /// Records the checkpoint at which the worker ends a task.
-    pub fn checkpointed(&mut self, id: &AttemptId, checkpoint: Bytes) {
+    pub fn record_checkpoint(&mut self, id: &AttemptId, checkpoint: Bytes) {
         if let Some(attempt) = self.attempts.get_mut(id) {
             attempt.checkpoint = Some(checkpoint);
         }
--- a/crates/core/src/tasks/listing.rs
+++ b/crates/core/src/tasks/listing.rs
@@ -15,7 +15,7 @@
 impl Tasks {
     /// Takes a list of the worker that was asked for at `asked_at` and arrived at `now`. Ignores it
     /// before a claim: a predecessor's start could still arrive after it.
-    pub fn listed(&mut self, asked_at: Time, now: Time, list: &WorkerList) {
+    pub fn apply_list(&mut self, asked_at: Time, now: Time, list: &WorkerList) {
         let Some(claim) = self.claim else {
             return self.event("list_ignored", None, "the worker is not claimed".into());
         };
--- a/crates/core/src/tasks/orders.rs
+++ b/crates/core/src/tasks/orders.rs
@@ -10,7 +10,7 @@
 impl Tasks {
     /// Obeys the reply to the last report. Each report is answered once: duplicates, replies to
     /// earlier reports and replies of an old epoch have no effect.
-    pub fn obey(&mut self, now: Time, orders: Orders) {
+    pub fn apply_orders(&mut self, now: Time, orders: Orders) {
         if orders.epoch < self.epoch {
             let detail = format!("epoch={} seen={}", orders.epoch, self.epoch);
             self.event("old_epoch_refused", None, detail);
--- a/crates/core/src/tasks/worker.rs
+++ b/crates/core/src/tasks/worker.rs
@@ -61,7 +61,7 @@
 
 /// Body of `POST /v1/claim`.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ClaimWorker {
+pub struct ClaimRequest {
     /// The claim to keep; refused if it is not the last one. `None` makes a new one.
     pub keep: Option<Claim>,
     /// Highest epoch of the cell that the agent has seen.
@@ -70,7 +70,7 @@
 
 /// Reply to `POST /v1/claim`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Claimed {
+pub struct ClaimReply {
     pub claim: Claim,
     /// Highest epoch that any claim of this instance named. Outlives the agent, so that a restarted
     /// one obeys no owner that its predecessor had refused.
--- a/crates/core/tests/colocation.rs
+++ b/crates/core/tests/colocation.rs
@@ -121,9 +121,9 @@
         if let Some(decision) = self.controller.observe(now, &sample) {
             self.apply(decision);
         }
-        let held = self.controller.held(now);
+        let blocked_classes = self.controller.blocked_classes(now);
         for (name, class) in &mut self.classes {
-            if !held.contains(name) {
+            if !blocked_classes.contains(name) {
                 class.tasks += std::mem::take(&mut class.away);
             }
         }
--- a/crates/core/tests/composed/world.rs
+++ b/crates/core/tests/composed/world.rs
@@ -196,7 +196,7 @@
             WorldInput::SendReport { vm, incarnation, sequence } => {
                 self.send_report(vm, incarnation, sequence);
             }
-            WorldInput::Answer(answer) => self.obey(answer),
+            WorldInput::Answer(answer) => self.apply_orders(answer),
             WorldInput::Boot(vm, owner) => self.boot(vm, owner),
             WorldInput::Fault => self.fault(),
             WorldInput::SplitBrain => self.begin_split_brain(),
@@ -428,7 +428,7 @@
         self.after(ms(2_000), WorldInput::SendReport { vm, incarnation, sequence });
     }
 
-    fn obey(&mut self, answer: Answer) {
+    fn apply_orders(&mut self, answer: Answer) {
         let Some(vm) = self.vms.iter().position(|vm| vm.id == answer.agent) else { return };
         let calm = self.cell.is_calm();
         let state = &mut self.vms[vm];
@@ -448,7 +448,7 @@
         let Answer { incarnation, orders, .. } = answer;
         let sequence = agent.sequence;
         let newest = orders.sequence == sequence;
-        agent.tasks.obey(clock, orders);
+        agent.tasks.apply_orders(clock, orders);
         agent.tasks.take_events();
         let awaited = newest && !state.answered;
         state.answered |= awaited;
--- a/crates/core/tests/support/machine.rs
+++ b/crates/core/tests/support/machine.rs
@@ -7,7 +7,7 @@
 use peridotfold_core::ledger::Limits;
 use peridotfold_core::resources::Resources;
 use peridotfold_core::tasks::worker::WorkerList;
-use peridotfold_core::tasks::{Action, Effect, Identity, Tasks};
+use peridotfold_core::tasks::{Action, ActionResult, Identity, Tasks};
 use peridotfold_core::time::Time;
 
 use crate::model_worker::{ModelWorker, CAPACITY};
@@ -164,14 +164,14 @@
                 (Cycle::Listed { asked_at, list }, false)
             }
             Cycle::Listed { asked_at, list } => {
-                agent.tasks.listed(asked_at, clock, &list);
+                agent.tasks.apply_list(asked_at, clock, &list);
                 let mut actions = agent.tasks.actions(clock);
                 actions.reverse();
                 (Cycle::Effects { actions }, true)
             }
             Cycle::Effects { actions } => self.perform_next(now, actions, odds, rng),
             Cycle::Waiting { action, until, then } if clock >= until => {
-                agent.tasks.performed(clock, &action, Effect::Unknown);
+                agent.tasks.record_result(clock, &action, ActionResult::Unknown);
                 (Cycle::Effects { actions: then }, true)
             }
             waiting => (waiting, false),
@@ -201,7 +201,7 @@
         let fate = rng.u8(..100);
         let (not_sent, late) = (odds.not_sent, odds.not_sent + odds.late);
         match fate {
-            _ if fate < not_sent => tasks.performed(clock, &action, Effect::NotSent),
+            _ if fate < not_sent => tasks.record_result(clock, &action, ActionResult::NotSent),
             _ if fate < late => {
                 let arrives_at = now + Duration::from_millis(rng.u64(100..6_000));
                 self.flights.push((arrives_at, action.clone()));
@@ -210,13 +210,13 @@
             }
             _ if fate < late + odds.unknown => {
                 self.worker.perform(clock, &action);
-                tasks.performed(clock, &action, Effect::Unknown);
+                tasks.record_result(clock, &action, ActionResult::Unknown);
             }
             _ => {
                 let (effect, checkpoint) = self.worker.perform(clock, &action);
-                tasks.performed(clock, &action, effect);
+                tasks.record_result(clock, &action, effect);
                 if let (Action::Checkpoint(id), Some(text)) = (&action, checkpoint) {
-                    tasks.checkpointed(id, text.into());
+                    tasks.record_checkpoint(id, text.into());
                 }
             }
         }
--- a/crates/core/tests/tasks/cases.rs
+++ b/crates/core/tests/tasks/cases.rs
@@ -10,9 +10,9 @@
 };
 use peridotfold_core::resources::Resources;
 use peridotfold_core::tasks::worker::{
-    Claim, ClaimWorker, Claimed, WorkerList, WorkerOutcome, WorkerTask,
+    Claim, ClaimReply, ClaimRequest, WorkerList, WorkerOutcome, WorkerTask,
 };
-use peridotfold_core::tasks::{Action, Effect, Identity, Tasks};
+use peridotfold_core::tasks::{Action, ActionResult, Identity, Tasks};
 
 const LEASE: Duration = Duration::from_secs(20);
 
@@ -61,8 +61,8 @@
     }
 }
 
-fn claimed(epoch: u64) -> Claimed {
-    Claimed { claim: Claim { instance: 1, controller: 1 }, epoch }
+fn claimed(epoch: u64) -> ClaimReply {
+    ClaimReply { claim: Claim { instance: 1, controller: 1 }, epoch }
 }
 
 fn unclaimed() -> Tasks {
@@ -84,7 +84,7 @@
 fn adopted_at(epoch: u64, now: Duration, worker: Vec<WorkerTask>) -> Tasks {
     let mut tasks = unclaimed();
     tasks.claimed(claimed(epoch));
-    tasks.listed(now, now, &list(now, worker));
+    tasks.apply_list(now, now, &list(now, worker));
     tasks
 }
 
@@ -110,12 +110,16 @@
 #[test]
 fn nothing_is_reported_before_the_worker_is_claimed_and_listed() {
     let mut tasks = unclaimed();
-    assert_eq!(tasks.claim_request(), Some(ClaimWorker::default()));
-    tasks.listed(seconds(1), seconds(1), &list(seconds(1), Vec::new()));
+    assert_eq!(tasks.claim_request(), Some(ClaimRequest::default()));
+    tasks.apply_list(seconds(1), seconds(1), &list(seconds(1), Vec::new()));
     assert!(tasks.report(seconds(1), 0).is_none(), "listed without a claim");
     tasks.claimed(claimed(3));
     assert!(tasks.report(seconds(1), 0).is_none(), "claimed without a list");
-    tasks.listed(seconds(1), seconds(1), &list(seconds(1), vec![listed_task(id(0, 3, 7), None)]));
+    tasks.apply_list(
+        seconds(1),
+        seconds(1),
+        &list(seconds(1), vec![listed_task(id(0, 3, 7), None)]),
+    );
     let report = tasks.report(seconds(1), 0).unwrap();
     assert_eq!((report.epoch, report.running.len()), (3, 1));
     assert_eq!(report.free, Resources::new(2_000, 8_000, 0));
@@ -127,10 +131,10 @@
     let mut tasks = adopted(seconds(1), Vec::new());
     let first = tasks.report(seconds(1), 0).unwrap();
     let second = tasks.report(seconds(2), 0).unwrap();
-    tasks.obey(seconds(3), orders(&first, 1, vec![start(id(0, 1, 1))]));
+    tasks.apply_orders(seconds(3), orders(&first, 1, vec![start(id(0, 1, 1))]));
     assert!(starts(&tasks.actions(seconds(3))).is_empty(), "answers an earlier report");
-    tasks.obey(seconds(3), orders(&second, 1, vec![start(id(1, 1, 2))]));
-    tasks.obey(seconds(3), orders(&second, 1, vec![start(id(2, 1, 3))]));
+    tasks.apply_orders(seconds(3), orders(&second, 1, vec![start(id(1, 1, 2))]));
+    tasks.apply_orders(seconds(3), orders(&second, 1, vec![start(id(2, 1, 3))]));
     assert_eq!(starts(&tasks.actions(seconds(3))), [id(1, 1, 2)]);
 }
 
@@ -139,11 +143,11 @@
 fn lease_counts_from_when_the_report_was_sent() {
     let mut tasks = adopted(seconds(1), Vec::new());
     let report = tasks.report(seconds(1), 0).unwrap();
-    tasks.obey(seconds(21), orders(&report, 1, vec![start(id(0, 1, 1))]));
+    tasks.apply_orders(seconds(21), orders(&report, 1, vec![start(id(0, 1, 1))]));
     assert!(starts(&tasks.actions(seconds(21))).is_empty(), "started after the lease");
-    tasks.listed(seconds(21), seconds(21), &list(seconds(21), Vec::new()));
+    tasks.apply_list(seconds(21), seconds(21), &list(seconds(21), Vec::new()));
     let report = tasks.report(seconds(21), 0).unwrap();
-    tasks.obey(seconds(22), orders(&report, 1, vec![start(id(0, 1, 2))]));
+    tasks.apply_orders(seconds(22), orders(&report, 1, vec![start(id(0, 1, 2))]));
     let actions = tasks.actions(seconds(22));
     assert_eq!(starts(&actions), [id(0, 1, 2)]);
     assert!(
@@ -161,12 +165,12 @@
     let report = tasks.report(seconds(1), 0).unwrap();
     let mut old = orders(&report, 4, vec![start(id(1, 4, 1))]);
     old.stops.push(StopOrder { attempt: id(0, 5, 9), checkpoint: false });
-    tasks.obey(seconds(1), old);
+    tasks.apply_orders(seconds(1), old);
     assert!(tasks.actions(seconds(1)).is_empty());
-    tasks.obey(seconds(1), orders(&report, 6, Vec::new()));
+    tasks.apply_orders(seconds(1), orders(&report, 6, Vec::new()));
     tasks.claimed(claimed(6));
     let report = tasks.report(seconds(1), 0).unwrap();
-    tasks.obey(seconds(1), orders(&report, 6, vec![start(id(1, 6, 1))]));
+    tasks.apply_orders(seconds(1), orders(&report, 6, vec![start(id(1, 6, 1))]));
     assert_eq!(tasks.epoch(), 6);
     assert_eq!(starts(&tasks.actions(seconds(1))), [id(1, 6, 1)]);
 }
@@ -182,7 +186,7 @@
     let task = || vec![listed_task(id(0, 1, 1), None)];
     let mut first = adopted(seconds(1), task());
     let report = first.report(seconds(50), 0).unwrap();
-    first.obey(seconds(50), orders(&report, 2, Vec::new()));
+    first.apply_orders(seconds(50), orders(&report, 2, Vec::new()));
     let request = first.claim_request().expect("the epoch is not kept yet");
     assert_eq!((request.keep, request.epoch), (Some(claimed(0).claim), 2));
     first.claimed(claimed(2));
@@ -191,7 +195,7 @@
     let mut second = adopted_at(2, seconds(51), task());
     let report = second.report(seconds(51), 0).unwrap();
     assert_eq!(report.epoch, 2, "the new owner is not told that its epoch is accepted");
-    second.obey(seconds(51), orders(&report, 1, vec![start(id(1, 1, 2))]));
+    second.apply_orders(seconds(51), orders(&report, 1, vec![start(id(1, 1, 2))]));
     let actions = second.actions(seconds(51));
     assert!(actions.is_empty(), "obeys the former owner: {actions:?}");
 }
@@ -204,14 +208,14 @@
     for second in 50..52 {
         let report = tasks.report(seconds(second), 0).unwrap();
         assert_eq!(report.epoch, 1, "reported as accepted before the worker keeps it");
-        tasks.obey(seconds(second), orders(&report, 2, vec![start(id(1, 2, 2))]));
+        tasks.apply_orders(seconds(second), orders(&report, 2, vec![start(id(1, 2, 2))]));
         let actions = tasks.actions(seconds(second));
         assert_eq!((starts(&actions).len(), renewals(&actions)), (0, 0));
     }
     tasks.claimed(claimed(2));
     let report = tasks.report(seconds(52), 0).unwrap();
     assert_eq!(report.epoch, 2);
-    tasks.obey(seconds(52), orders(&report, 2, vec![start(id(1, 2, 2))]));
+    tasks.apply_orders(seconds(52), orders(&report, 2, vec![start(id(1, 2, 2))]));
     let actions = tasks.actions(seconds(52));
     assert_eq!((starts(&actions).len(), renewals(&actions)), (1, 1));
 }
@@ -223,7 +227,10 @@
     let newer = id(0, 1, 2);
     let mut tasks = adopted(seconds(1), vec![listed_task(older.clone(), None)]);
     let report = tasks.report(seconds(1), 0).unwrap();
-    tasks.obey(seconds(1), orders(&report, 1, vec![start(newer.clone()), start(id(0, 0, 9))]));
+    tasks.apply_orders(
+        seconds(1),
+        orders(&report, 1, vec![start(newer.clone()), start(id(0, 0, 9))]),
+    );
     let actions = tasks.actions(seconds(1));
     assert!(starts(&actions).is_empty());
     assert!(actions.contains(&Action::Stop(older.clone())));
@@ -231,11 +238,15 @@
     assert!(report.running.iter().any(|task| task.attempt == newer), "a waiting start is hidden");
     assert!(refused(&report, &id(0, 0, 9)), "an older token is not refused");
     assert!(tasks.begin(seconds(1), &Action::Stop(older.clone())));
-    tasks.performed(seconds(1), &Action::Stop(older.clone()), Effect::Done);
-    tasks.listed(seconds(2), seconds(2), &list(seconds(2), vec![listed_task(older.clone(), None)]));
+    tasks.record_result(seconds(1), &Action::Stop(older.clone()), ActionResult::Done);
+    tasks.apply_list(
+        seconds(2),
+        seconds(2),
+        &list(seconds(2), vec![listed_task(older.clone(), None)]),
+    );
     assert!(starts(&tasks.actions(seconds(2))).is_empty(), "started before the confirmation");
     let gone = listed_task(older, Some(WorkerOutcome::Stopped { checkpoint: None }));
-    tasks.listed(seconds(3), seconds(3), &list(seconds(3), vec![gone]));
+    tasks.apply_list(seconds(3), seconds(3), &list(seconds(3), vec![gone]));
     assert_eq!(starts(&tasks.actions(seconds(3))), [newer]);
 }
 
@@ -247,14 +258,14 @@
     for second in 1..4 {
         let report = tasks.report(seconds(second), 0).unwrap();
         assert_eq!(report.results.len(), 1);
-        tasks.obey(seconds(second), orders(&report, 1, Vec::new()));
+        tasks.apply_orders(seconds(second), orders(&report, 1, Vec::new()));
         assert!(tasks.actions(seconds(second)).is_empty(), "removed before the commit");
     }
     let report = tasks.report(seconds(4), 0).unwrap();
     let mut reply = orders(&report, 1, Vec::new());
     reply.acknowledged.push(id(0, 1, 1));
-    tasks.obey(seconds(4), reply);
-    tasks.listed(seconds(5), seconds(5), &list(seconds(5), vec![done]));
+    tasks.apply_orders(seconds(4), reply);
+    tasks.apply_list(seconds(5), seconds(5), &list(seconds(5), vec![done]));
     assert!(tasks.report(seconds(5), 0).unwrap().results.is_empty(), "reported again");
     assert_eq!(tasks.actions(seconds(5)), [Action::Remove(id(0, 1, 1))]);
 }
@@ -279,17 +290,17 @@
     tasks.drain();
     assert!(!tasks.is_drained());
     let report = tasks.report(seconds(1), 0).unwrap();
-    tasks.obey(seconds(1), orders(&report, 1, vec![start(id(1, 1, 2))]));
+    tasks.apply_orders(seconds(1), orders(&report, 1, vec![start(id(1, 1, 2))]));
     assert_eq!(tasks.actions(seconds(1)), [Action::Checkpoint(id(0, 1, 1))]);
     let checkpoint = Some("c".to_owned());
     let gone = listed_task(id(0, 1, 1), Some(WorkerOutcome::Stopped { checkpoint }));
-    tasks.listed(seconds(2), seconds(2), &list(seconds(2), vec![gone]));
+    tasks.apply_list(seconds(2), seconds(2), &list(seconds(2), vec![gone]));
     let report = tasks.report(seconds(2), 0).unwrap();
     assert!(refused(&report, &id(1, 1, 2)));
     let evicted = Outcome::Evicted { checkpoint: Some(Bytes::from_static(b"c")) };
     assert!(report.results.iter().any(|result| result.outcome == evicted));
     let mut reply = orders(&report, 1, Vec::new());
     reply.acknowledged = report.results.iter().map(|result| result.attempt.clone()).collect();
-    tasks.obey(seconds(2), reply);
+    tasks.apply_orders(seconds(2), reply);
     assert!(tasks.is_drained());
 }
--- a/crates/core/tests/tasks/model_worker.rs
+++ b/crates/core/tests/tasks/model_worker.rs
@@ -6,9 +6,9 @@
 use peridotfold_core::message::report::{AttemptId, Token};
 use peridotfold_core::resources::Resources;
 use peridotfold_core::tasks::worker::{
-    Claim, ClaimWorker, Claimed, WorkerList, WorkerOutcome, WorkerTask,
+    Claim, ClaimReply, ClaimRequest, WorkerList, WorkerOutcome, WorkerTask,
 };
-use peridotfold_core::tasks::{Action, Effect};
+use peridotfold_core::tasks::{Action, ActionResult};
 
 pub const CAPACITY: Resources = Resources::new(16_000, 60_000, 2);
 const STOP_TIME: Duration = Duration::from_millis(300);
@@ -58,14 +58,14 @@
     }
 
     /// Makes or keeps a claim; `None` when another agent holds it.
-    pub fn claim(&mut self, request: ClaimWorker) -> Option<Claimed> {
+    pub fn claim(&mut self, request: ClaimRequest) -> Option<ClaimReply> {
         match request.keep {
             Some(claim) if claim != self.claim => return None,
             Some(_) => {}
             None => self.claim.controller += 1,
         }
         self.epoch = self.epoch.max(request.epoch);
-        Some(Claimed { claim: self.claim, epoch: self.epoch })
+        Some(ClaimReply { claim: self.claim, epoch: self.epoch })
     }
 
     pub fn running(&self) -> impl Iterator<Item = &ModelTask> {
@@ -116,9 +116,9 @@
     }
 
     /// Performs a request that arrives now; returns its effect and the checkpoint if one was taken.
-    pub fn perform(&mut self, now: Duration, action: &Action) -> (Effect, Option<String>) {
+    pub fn perform(&mut self, now: Duration, action: &Action) -> (ActionResult, Option<String>) {
         self.advance(now);
-        let refused = |reason: &str| (Effect::Refused(reason.to_owned()), None);
+        let refused = |reason: &str| (ActionResult::Refused(reason.to_owned()), None);
         let clock = now.saturating_sub(self.origin).as_millis() as u64;
         match action {
             Action::Start(start) => {
@@ -127,14 +127,14 @@
                     return refused("not allowed any more");
                 }
                 if self.tasks.contains_key(&start.attempt) {
-                    return (Effect::Done, None);
+                    return (ActionResult::Done, None);
                 }
                 if self.seen.get(&key).is_some_and(|seen| *seen >= start.attempt.token) {
                     return refused("old token");
                 }
                 self.seen.insert(key, start.attempt.token);
                 self.start(start);
-                (Effect::Done, None)
+                (ActionResult::Done, None)
             }
             Action::Renew { instance, leases, .. } => {
                 if *instance != self.claim.instance {
@@ -146,26 +146,26 @@
                         *until = (*until).max(lease.valid_until_ms);
                     }
                 }
-                (Effect::Done, None)
+                (ActionResult::Done, None)
             }
             Action::Stop(id) => {
                 let seen = self.seen.entry((id.job.clone(), id.task)).or_default();
                 *seen = (*seen).max(id.token);
                 self.stop(now, id, None);
-                (Effect::Done, None)
+                (ActionResult::Done, None)
             }
             Action::Checkpoint(id) => match self.tasks.get(id) {
                 Some(task) if task.info.outcome.is_none() => {
                     let checkpoint = task.progress_ms.to_string();
                     self.stop(now, id, Some(checkpoint.clone()));
-                    (Effect::Done, Some(checkpoint))
+                    (ActionResult::Done, Some(checkpoint))
                 }
                 _ => refused("not running"),
             },
             Action::Throttle(id, percent) => match self.tasks.get_mut(id) {
                 Some(task) => {
                     task.info.speed_percent = *percent;
-                    (Effect::Done, None)
+                    (ActionResult::Done, None)
                 }
                 None => refused("unknown"),
             },
@@ -174,7 +174,7 @@
                 let Some(task) = self.tasks.get(id) else { return refused("unknown") };
                 assert!(task.info.outcome.is_some(), "removes the running task {id:?}");
                 self.tasks.remove(id);
-                (Effect::Done, None)
+                (ActionResult::Done, None)
             }
         }
     }
--- a/crates/core/tests/tasks/schedules.rs
+++ b/crates/core/tests/tasks/schedules.rs
@@ -179,7 +179,7 @@
         link.downlink = later;
         for (_, incarnation, orders) in due {
             if incarnation == agent.incarnation {
-                agent.tasks.obey(clock, orders);
+                agent.tasks.apply_orders(clock, orders);
                 link.report_due = self.now;
             }
         }
--- a/crates/standins/src/worker/simulation.rs
+++ b/crates/standins/src/worker/simulation.rs
@@ -9,8 +9,8 @@
 use peridotfold_core::message::report::{AttemptId, Token};
 use peridotfold_core::resources::Resources;
 use peridotfold_core::tasks::worker::{
-    task_path_id, Claim, ClaimWorker, Claimed, RenewTasks, StartTask, WorkerList, WorkerOutcome,
-    WorkerTask,
+    task_path_id, Claim, ClaimReply, ClaimRequest, RenewTasks, StartTask, WorkerList,
+    WorkerOutcome, WorkerTask,
 };
 use serde::{Deserialize, Serialize};
 
@@ -221,7 +221,7 @@
     /// # Errors
     ///
     /// Refuses to keep a claim that is not the last one.
-    pub fn claim(&mut self, request: ClaimWorker) -> Result<Claimed, Refusal> {
+    pub fn claim(&mut self, request: ClaimRequest) -> Result<ClaimReply, Refusal> {
         match request.keep {
             Some(claim) if claim != self.claim => {
                 return refuse(409, "the worker was restarted or claimed by another agent");
@@ -230,7 +230,7 @@
             None => self.claim.controller += 1,
         }
         self.epoch = self.epoch.max(request.epoch);
-        Ok(Claimed { claim: self.claim, epoch: self.epoch })
+        Ok(ClaimReply { claim: self.claim, epoch: self.epoch })
     }
 
     /// Lists running tasks and results.
