--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -5,7 +5,7 @@
 //! use up the slots.
 
 pub mod estimate;
-pub mod seen;
+pub mod history;
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use crate::message::request::{CancelReply, RefuseReason, RequestId};
 use crate::time::Time;
 use estimate::ServiceTime;
-use seen::{Fate, Seen};
+use history::{RequestHistory, RequestState};
 
 /// Bounds of the retry-after time in refusals.
 const RETRY_AFTER_MIN: Duration = Duration::from_millis(20);
@@ -79,7 +79,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Held {
+enum HeldResource {
     Slot,
     Connection,
     /// Waits for another request with the same idempotency key.
@@ -88,8 +88,8 @@
 
 #[derive(Debug)]
 struct Running {
-    since: Time,
-    held: Held,
+    started_at: Time,
+    resource: HeldResource,
 }
 
 #[derive(Debug)]
@@ -105,9 +105,9 @@
     leaving: bool,
     running: HashMap<RequestId, Running>,
     queue: VecDeque<Queued>,
-    in_slots: u32,
+    used_slots: u32,
     streams: u32,
-    seen: Seen,
+    history: RequestHistory,
     service_time: ServiceTime,
 }
 
@@ -119,9 +119,9 @@
             leaving: false,
             running: HashMap::new(),
             queue: VecDeque::new(),
-            in_slots: 0,
+            used_slots: 0,
             streams: 0,
-            seen: Seen::default(),
+            history: RequestHistory::default(),
             service_time: ServiceTime::default(),
         }
     }
@@ -129,22 +129,22 @@
     /// Changes the limits. Requests that run above lowered limits are not interrupted.
     pub fn set_limits(&mut self, now: Time, limits: Limits) -> Vec<Action> {
         self.limits = limits;
-        self.promote(now)
+        self.start_queued(now)
     }
 
     /// Decides about an arriving request that has to be answered before `deadline`.
     pub fn offer(&mut self, now: Time, id: &RequestId, deadline: Time) -> Offer {
-        if let Some(offer) = self.known(id) {
+        if let Some(offer) = self.repeated_offer(id) {
             return offer;
         }
-        if let Some(refusal) = self.objection(now, deadline) {
-            self.seen.record(now, id, Fate::Refused);
+        if let Some(refusal) = self.check(now, deadline) {
+            self.history.record(now, id, RequestState::Refused);
             return Offer::Refused(refusal);
         }
-        if !self.seen.record(now, id, Fate::Admitted) {
-            return Offer::Refused(self.refusal(RefuseReason::Overloaded));
+        if !self.history.record(now, id, RequestState::Admitted) {
+            return Offer::Refused(self.build_refusal(RefuseReason::Overloaded));
         }
-        if self.queue.is_empty() && self.has_room() {
+        if self.queue.is_empty() && self.has_free_slot() {
             self.start(now, id.clone());
             return Offer::Start;
         }
@@ -155,33 +155,34 @@
     /// Admits a request that needs neither slot nor connection because it waits for, or repeats,
     /// the answer to another one. Never returns [`Offer::Queued`].
     pub fn join(&mut self, now: Time, id: &RequestId) -> Offer {
-        if let Some(offer) = self.known(id) {
+        if let Some(offer) = self.repeated_offer(id) {
             return offer;
         }
-        if !self.seen.record(now, id, Fate::Admitted) {
-            return Offer::Refused(self.refusal(RefuseReason::Overloaded));
+        if !self.history.record(now, id, RequestState::Admitted) {
+            return Offer::Refused(self.build_refusal(RefuseReason::Overloaded));
         }
-        self.running.insert(id.clone(), Running { since: now, held: Held::Nothing });
+        self.running
+            .insert(id.clone(), Running { started_at: now, resource: HeldResource::Nothing });
         Offer::Start
     }
 
     /// Refuses a request for a reason found elsewhere, so that a late copy is refused as well.
     pub fn refuse(&mut self, now: Time, id: &RequestId, reason: RefuseReason) -> Offer {
-        if let Some(offer) = self.known(id) {
+        if let Some(offer) = self.repeated_offer(id) {
             return offer;
         }
-        self.seen.record(now, id, Fate::Refused);
-        Offer::Refused(self.refusal(reason))
+        self.history.record(now, id, RequestState::Refused);
+        Offer::Refused(self.build_refusal(reason))
     }
 
     /// Gives back the slot of a running request whose response stays open.
     pub fn detach(&mut self, now: Time, id: &RequestId) -> Vec<Action> {
         match self.running.get_mut(id) {
-            Some(running) if running.held == Held::Slot => {
-                running.held = Held::Connection;
-                self.in_slots -= 1;
+            Some(running) if running.resource == HeldResource::Slot => {
+                running.resource = HeldResource::Connection;
+                self.used_slots -= 1;
                 self.streams += 1;
-                self.promote(now)
+                self.start_queued(now)
             }
             _ => Vec::new(),
         }
@@ -192,22 +193,22 @@
         let Some(running) = self.running.remove(id) else {
             return Vec::new();
         };
-        match running.held {
-            Held::Slot => {
-                self.in_slots -= 1;
+        match running.resource {
+            HeldResource::Slot => {
+                self.used_slots -= 1;
                 if ending == Ending::Answered {
-                    self.service_time.add(now.saturating_sub(running.since));
+                    self.service_time.add(now.saturating_sub(running.started_at));
                 }
             }
-            Held::Connection => self.streams -= 1,
-            Held::Nothing => {}
+            HeldResource::Connection => self.streams -= 1,
+            HeldResource::Nothing => {}
         }
-        let fate = match ending {
-            Ending::NotRun => Fate::Refused,
-            Ending::Answered | Ending::Failed => Fate::Ended,
+        let state = match ending {
+            Ending::NotRun => RequestState::Refused,
+            Ending::Answered | Ending::Failed => RequestState::Ended,
         };
-        self.seen.change(id, fate);
-        self.promote(now)
+        self.history.set_state(id, state);
+        self.start_queued(now)
     }
 
     /// Gives up a request. After [`CancelReply::NotStarted`] it is never started.
@@ -217,28 +218,30 @@
         }
         if let Some(index) = self.queue.iter().position(|queued| queued.id == *id) {
             self.queue.remove(index);
-            self.seen.change(id, Fate::Refused);
-            let refusal = self.refusal(RefuseReason::Duplicate);
+            self.history.set_state(id, RequestState::Refused);
+            let refusal = self.build_refusal(RefuseReason::Duplicate);
             return (CancelReply::NotStarted, vec![Action::Refuse(id.clone(), refusal)]);
         }
-        let reply = match self.seen.fate(id) {
+        let reply = match self.history.state(id) {
             // An id that cannot be remembered could still be admitted later.
-            None if !self.seen.record(now, id, Fate::Refused) => CancelReply::Done,
-            None | Some(Fate::Refused) => CancelReply::NotStarted,
-            Some(Fate::Admitted | Fate::Ended | Fate::Forgotten) => CancelReply::Done,
+            None if !self.history.record(now, id, RequestState::Refused) => CancelReply::Done,
+            None | Some(RequestState::Refused) => CancelReply::NotStarted,
+            Some(RequestState::Admitted | RequestState::Ended | RequestState::BelowFloor) => {
+                CancelReply::Done
+            }
         };
         (reply, Vec::new())
     }
 
     /// Refuses queued requests whose deadline has passed. Due at [`Admission::next_deadline`].
     pub fn tick(&mut self, now: Time) -> Vec<Action> {
-        let refusal = self.refusal(RefuseReason::DeadlinePassed);
+        let refusal = self.build_refusal(RefuseReason::DeadlinePassed);
         let mut actions = Vec::new();
-        let seen = &mut self.seen;
+        let history = &mut self.history;
         self.queue.retain(|queued| {
             let keep = queued.deadline > now;
             if !keep {
-                seen.change(&queued.id, Fate::Refused);
+                history.set_state(&queued.id, RequestState::Refused);
                 actions.push(Action::Refuse(queued.id.clone(), refusal));
             }
             keep
@@ -270,7 +273,7 @@
     pub fn load(&self, now: Time) -> Load {
         Load {
             slots: self.usable_slots(),
-            running: self.in_slots,
+            running: self.used_slots,
             streams: self.streams,
             queued: self.queue.len() as u32,
             latency: self.service_time.mean().max(self.mean_age(now)),
@@ -278,44 +281,48 @@
     }
 
     /// Number of ids remembered.
-    pub fn remembered(&self) -> usize {
-        self.seen.len()
+    pub fn history_len(&self) -> usize {
+        self.history.len()
     }
 
     /// Expected time until a request that arrives now gets a slot.
     pub fn expected_wait(&self) -> Duration {
         match self.usable_slots() {
             0 => RETRY_AFTER_UNKNOWN,
-            _ if self.queue.is_empty() && self.has_room() => Duration::ZERO,
+            _ if self.queue.is_empty() && self.has_free_slot() => Duration::ZERO,
             slots => self.service_time.mean() * (self.queue.len() as u32 + 1) / slots,
         }
     }
 
-    fn known(&self, id: &RequestId) -> Option<Offer> {
-        match self.seen.fate(id)? {
-            Fate::Refused => Some(Offer::Refused(self.refusal(RefuseReason::Duplicate))),
-            Fate::Admitted | Fate::Ended | Fate::Forgotten => Some(Offer::Repeated),
+    fn repeated_offer(&self, id: &RequestId) -> Option<Offer> {
+        match self.history.state(id)? {
+            RequestState::Refused => {
+                Some(Offer::Refused(self.build_refusal(RefuseReason::Duplicate)))
+            }
+            RequestState::Admitted | RequestState::Ended | RequestState::BelowFloor => {
+                Some(Offer::Repeated)
+            }
         }
     }
 
-    fn objection(&self, now: Time, deadline: Time) -> Option<Refusal> {
+    fn check(&self, now: Time, deadline: Time) -> Option<Refusal> {
         let reason = match () {
             () if self.leaving => RefuseReason::Leaving,
             () if deadline <= now => RefuseReason::DeadlinePassed,
             // With a free slot the request runs even if it is expected to miss its deadline:
             // otherwise an estimate that is too high could never be corrected.
-            () if self.queue.is_empty() && self.has_room() => return None,
+            () if self.queue.is_empty() && self.has_free_slot() => return None,
             () if self.usable_slots() == 0 => RefuseReason::Overloaded,
             () if self.queue.len() >= self.limits.queue as usize => RefuseReason::Overloaded,
-            () if now + self.expected_wait() + self.service_time.high() > deadline => {
+            () if now + self.expected_wait() + self.service_time.upper_bound() > deadline => {
                 RefuseReason::Overloaded
             }
             () => return None,
         };
-        Some(self.refusal(reason))
+        Some(self.build_refusal(reason))
     }
 
-    fn refusal(&self, reason: RefuseReason) -> Refusal {
+    fn build_refusal(&self, reason: RefuseReason) -> Refusal {
         let retry_after = match reason {
             RefuseReason::Overloaded | RefuseReason::DeadlinePassed => {
                 self.expected_wait().clamp(RETRY_AFTER_MIN, RETRY_AFTER_MAX)
@@ -329,34 +336,34 @@
         self.limits.slots.min(self.limits.connections.saturating_sub(self.streams))
     }
 
-    fn has_room(&self) -> bool {
-        self.in_slots < self.usable_slots()
+    fn has_free_slot(&self) -> bool {
+        self.used_slots < self.usable_slots()
     }
 
     /// Mean time since the start of the requests in slots. Shows an upstream that hangs, which
     /// yields no finished request to measure.
     fn mean_age(&self, now: Time) -> Duration {
-        let ages = self.running.values().filter(|running| running.held == Held::Slot);
-        let sum: Duration = ages.map(|running| now.saturating_sub(running.since)).sum();
-        sum.checked_div(self.in_slots).unwrap_or_default()
+        let ages = self.running.values().filter(|running| running.resource == HeldResource::Slot);
+        let sum: Duration = ages.map(|running| now.saturating_sub(running.started_at)).sum();
+        sum.checked_div(self.used_slots).unwrap_or_default()
     }
 
     fn start(&mut self, now: Time, id: RequestId) {
-        self.in_slots += 1;
-        self.running.insert(id, Running { since: now, held: Held::Slot });
+        self.used_slots += 1;
+        self.running.insert(id, Running { started_at: now, resource: HeldResource::Slot });
     }
 
     /// Starts queued requests while there is room. One that would end after its deadline is
     /// refused instead, since its answer would be of no use.
-    fn promote(&mut self, now: Time) -> Vec<Action> {
+    fn start_queued(&mut self, now: Time) -> Vec<Action> {
         let mut actions = Vec::new();
-        while self.has_room() {
+        while self.has_free_slot() {
             let Some(Queued { id, deadline }) = self.queue.pop_front() else {
                 break;
             };
             if now + self.service_time.mean() > deadline || deadline <= now {
-                self.seen.change(&id, Fate::Refused);
-                let refusal = self.refusal(RefuseReason::DeadlinePassed);
+                self.history.set_state(&id, RequestState::Refused);
+                let refusal = self.build_refusal(RefuseReason::DeadlinePassed);
                 actions.push(Action::Refuse(id, refusal));
                 continue;
             }
--- a/crates/core/src/admission/estimate.rs
+++ b/crates/core/src/admission/estimate.rs
@@ -9,7 +9,7 @@
 /// Consecutive samples beyond half or twice the mean that show a changed level, and the weight of
 /// samples from then on. Exponentially distributed service times yield such a run by chance once
 /// in more than a thousand samples.
-const CHANGE_RUN: u32 = 8;
+const CHANGE_SAMPLES: u32 = 8;
 const CHANGE_WEIGHT: f64 = 1.0 / 4.0;
 /// Deviations above the mean that an accepted request is allowed to need, as in RFC 6298. With 2,
 /// only 96% of the requests accepted at a deadline of 2.5 mean service times met it.
@@ -33,7 +33,7 @@
     smoothed: Option<(f64, f64)>,
     level: Level,
     /// Consecutive samples at `level`.
-    run: u32,
+    run_length: u32,
 }
 
 impl ServiceTime {
@@ -44,8 +44,8 @@
             self.smoothed = Some((sample, sample / 2.0));
             return;
         };
-        self.follow(mean, sample);
-        let changed = self.level != Level::Near && self.run >= CHANGE_RUN;
+        self.update_level(mean, sample);
+        let changed = self.level != Level::Near && self.run_length >= CHANGE_SAMPLES;
         let (mean_weight, deviation_weight) = match changed {
             true => (CHANGE_WEIGHT, CHANGE_WEIGHT),
             false => (MEAN_WEIGHT, DEVIATION_WEIGHT),
@@ -62,18 +62,18 @@
     }
 
     /// Time that most requests do not exceed.
-    pub fn high(&self) -> Duration {
-        let high = |(mean, deviation)| mean + HIGH_DEVIATIONS * deviation;
-        Duration::from_secs_f64(self.smoothed.map_or(0.0, high))
+    pub fn upper_bound(&self) -> Duration {
+        let upper_bound = |(mean, deviation)| mean + HIGH_DEVIATIONS * deviation;
+        Duration::from_secs_f64(self.smoothed.map_or(0.0, upper_bound))
     }
 
-    fn follow(&mut self, mean: f64, sample: f64) {
+    fn update_level(&mut self, mean: f64, sample: f64) {
         let level = match sample {
             low if low < mean / 2.0 => Level::Low,
             high if high > mean * 2.0 => Level::High,
             _ => Level::Near,
         };
-        self.run = if level == self.level { self.run.saturating_add(1) } else { 1 };
+        self.run_length = if level == self.level { self.run_length.saturating_add(1) } else { 1 };
         self.level = level;
     }
 }
--- a/crates/core/src/admission/seen.rs
+++ b/crates/core/src/admission/history.rs
@@ -19,80 +19,80 @@
 /// Time for which the fate of a number is kept.
 pub const RETENTION: Duration = Duration::from_secs(60);
 /// Numbers kept for each incarnation of an entry.
-pub const NUMBERS_PER_SOURCE: usize = 16 * 1024;
+pub const NUMBERS_PER_INCARNATION: usize = 16 * 1024;
 /// Incarnations of entries kept.
-pub const SOURCES: usize = 4096;
+pub const MAX_INCARNATIONS: usize = 4096;
 /// Silence after which an incarnation may be dropped. Linux gives up retransmission after 16 min.
-pub const SOURCE_SILENCE: Duration = Duration::from_secs(3600);
+pub const INCARNATION_IDLE: Duration = Duration::from_secs(3600);
 
 /// What became of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
+pub enum RequestState {
     /// Queued or started, and not ended.
     Admitted,
     Ended,
     /// Never started, and must not be.
     Refused,
     /// Below the floor: may have been any of the others.
-    Forgotten,
+    BelowFloor,
 }
 
 #[derive(Debug, Default)]
-struct Source {
+struct ReplayWindow {
     floor: RequestNumber,
-    fates: BTreeMap<RequestNumber, Fate>,
+    states: BTreeMap<RequestNumber, RequestState>,
     /// Numbers in order of arrival.
     arrivals: VecDeque<(Time, RequestNumber)>,
-    last: Time,
+    last_arrival: Time,
 }
 
 /// Ids of requests that arrived or were cancelled.
 #[derive(Debug, Default)]
-pub struct Seen {
-    sources: HashMap<EntryId, HashMap<Incarnation, Source>>,
-    source_count: usize,
+pub struct RequestHistory {
+    windows: HashMap<EntryId, HashMap<Incarnation, ReplayWindow>>,
+    window_count: usize,
 }
 
-impl Seen {
+impl RequestHistory {
     /// Fate of a request; `None` when the id was never seen.
-    pub fn fate(&self, id: &RequestId) -> Option<Fate> {
-        let source = self.sources.get(&id.entry)?.get(&id.incarnation)?;
-        match source.fates.get(&id.number) {
-            Some(fate) => Some(*fate),
-            None if id.number < source.floor => Some(Fate::Forgotten),
+    pub fn state(&self, id: &RequestId) -> Option<RequestState> {
+        let window = self.windows.get(&id.entry)?.get(&id.incarnation)?;
+        match window.states.get(&id.number) {
+            Some(state) => Some(*state),
+            None if id.number < window.floor => Some(RequestState::BelowFloor),
             None => None,
         }
     }
 
     /// Remembers a new id. Returns false when there is no space for its incarnation.
-    pub fn record(&mut self, now: Time, id: &RequestId, fate: Fate) -> bool {
-        let known = self.sources.get(&id.entry).is_some_and(|s| s.contains_key(&id.incarnation));
-        if !known && !self.make_space(now) {
+    pub fn record(&mut self, now: Time, id: &RequestId, state: RequestState) -> bool {
+        let known = self.windows.get(&id.entry).is_some_and(|s| s.contains_key(&id.incarnation));
+        if !known && !self.ensure_capacity(now) {
             return false;
         }
         if !known {
-            self.source_count += 1;
+            self.window_count += 1;
         }
-        let source =
-            self.sources.entry(id.entry.clone()).or_default().entry(id.incarnation).or_default();
-        source.last = now;
-        source.fates.insert(id.number, fate);
-        source.arrivals.push_back((now, id.number));
-        source.expire(now);
+        let window =
+            self.windows.entry(id.entry.clone()).or_default().entry(id.incarnation).or_default();
+        window.last_arrival = now;
+        window.states.insert(id.number, state);
+        window.arrivals.push_back((now, id.number));
+        window.expire(now);
         true
     }
 
     /// Changes the fate of a remembered id.
-    pub fn change(&mut self, id: &RequestId, fate: Fate) {
-        let source = self.sources.get_mut(&id.entry).and_then(|s| s.get_mut(&id.incarnation));
-        if let Some(kept) = source.and_then(|source| source.fates.get_mut(&id.number)) {
-            *kept = fate;
+    pub fn set_state(&mut self, id: &RequestId, state: RequestState) {
+        let window = self.windows.get_mut(&id.entry).and_then(|s| s.get_mut(&id.incarnation));
+        if let Some(known_state) = window.and_then(|window| window.states.get_mut(&id.number)) {
+            *known_state = state;
         }
     }
 
     /// Number of ids remembered one by one.
     pub fn len(&self) -> usize {
-        self.sources.values().flat_map(HashMap::values).map(|source| source.fates.len()).sum()
+        self.windows.values().flat_map(HashMap::values).map(|window| window.states.len()).sum()
     }
 
     /// Tells whether no id is remembered.
@@ -100,32 +100,33 @@
         self.len() == 0
     }
 
-    fn make_space(&mut self, now: Time) -> bool {
-        if self.source_count < SOURCES {
+    fn ensure_capacity(&mut self, now: Time) -> bool {
+        if self.window_count < MAX_INCARNATIONS {
             return true;
         }
-        for incarnations in self.sources.values_mut() {
-            incarnations.retain(|_, source| now.saturating_sub(source.last) < SOURCE_SILENCE);
+        for incarnations in self.windows.values_mut() {
+            incarnations
+                .retain(|_, window| now.saturating_sub(window.last_arrival) < INCARNATION_IDLE);
         }
-        self.sources.retain(|_, incarnations| !incarnations.is_empty());
-        self.source_count = self.sources.values().map(HashMap::len).sum();
-        self.source_count < SOURCES
+        self.windows.retain(|_, incarnations| !incarnations.is_empty());
+        self.window_count = self.windows.values().map(HashMap::len).sum();
+        self.window_count < MAX_INCARNATIONS
     }
 }
 
-impl Source {
+impl ReplayWindow {
     fn expire(&mut self, now: Time) {
         let floor = self.floor;
         while let Some(&(arrival, number)) = self.arrivals.front() {
             let old = now.saturating_sub(arrival) >= RETENTION;
-            if !old && self.arrivals.len() <= NUMBERS_PER_SOURCE {
+            if !old && self.arrivals.len() <= NUMBERS_PER_INCARNATION {
                 break;
             }
             self.arrivals.pop_front();
             self.floor = self.floor.max(number.saturating_add(1));
         }
         if self.floor > floor {
-            self.fates = self.fates.split_off(&self.floor);
+            self.states = self.states.split_off(&self.floor);
         }
     }
 }
--- a/crates/core/src/colocation.rs
+++ b/crates/core/src/colocation.rs
@@ -22,33 +22,33 @@
 /// the tail stays under it while an effect is awaited. With 1.18, and 1.16 as the aim, the service
 /// stayed slow for 87 % of an hour under constant load in one seed of the test; with 1.17 and 1.15,
 /// for 12.1 % in another.
-const HIGH: f64 = 1.16;
+const HIGH_RATIO: f64 = 1.16;
 /// Predicted latency up to which a throttle is loosened, and to which batch work is throttled.
-const AIM: f64 = 1.14;
+const SETPOINT_RATIO: f64 = 1.14;
 /// Smallest difference that counts; keeps the noise of very short latencies out.
-const NOISE: Duration = Duration::from_micros(300);
+const LATENCY_NOISE: Duration = Duration::from_micros(300);
 /// Consecutive high samples before the first action.
-const HIGH_SAMPLES: u32 = 2;
+const MIN_HIGH_SAMPLES: u32 = 2;
 /// Lowest speed of a throttled class, in percent.
-const FLOOR: u8 = 10;
+const MIN_SPEED: u8 = 10;
 /// Smallest change of a speed, in percent.
-const SMALLEST_STEP: u8 = 10;
+const MIN_SPEED_STEP: u8 = 10;
 /// First wait before a restore, in lags. A throttle waits two lags.
 const RESTORE_LAGS: u32 = 6;
 /// Quiet time after which a throttle is loosened against the prediction, which may be out of date.
-const EXPLORE_WAIT: Duration = Duration::from_secs(2 * 60);
+const PROBE_WAIT: Duration = Duration::from_secs(2 * 60);
 const RESTORE_WAIT_MAX: Duration = Duration::from_secs(30 * 60);
 /// Slow-down by a class below which throttling it further is no use.
-const NEGLIGIBLE: f64 = 0.02;
+const MIN_SLOWDOWN: f64 = 0.02;
 /// Slow-down by a fully throttled class from which on it may be evicted.
-const HARMFUL: f64 = 0.05;
+const EVICTION_SLOWDOWN: f64 = 0.05;
 /// Slow-down, as seconds of doubled latency, that has to be saved by an eviction. Stands for the
 /// work lost and the doubts that an eviction raises. With 30 s, a slow-down of 25 % that throttling
 /// did not cure lasted for 3 min before each eviction.
-const EVICTION_COST: f64 = 10.0;
+const EVICTION_COST_S: f64 = 10.0;
 /// Time for which a class is not admitted after an eviction; doubles with each further one.
-const HOLD: Duration = Duration::from_secs(120);
-const HOLD_MAX: Duration = Duration::from_secs(60 * 60);
+const BLOCK_MIN: Duration = Duration::from_secs(120);
+const BLOCK_MAX: Duration = Duration::from_secs(60 * 60);
 
 /// Batch work of one class on the VM.
 #[derive(Debug, Clone, PartialEq)]
@@ -94,8 +94,8 @@
     /// Wait before the next restore; doubles when a restore is undone.
     restore_wait: Duration,
     restored_at: Option<Time>,
-    held_until: Time,
-    hold: Duration,
+    blocked_until: Time,
+    block_time: Duration,
 }
 
 impl Default for ClassState {
@@ -107,14 +107,14 @@
             urgent: false,
             restore_wait: Duration::ZERO,
             restored_at: None,
-            held_until: Duration::ZERO,
-            hold: Duration::ZERO,
+            blocked_until: Duration::ZERO,
+            block_time: Duration::ZERO,
         }
     }
 }
 
 impl ClassState {
-    fn full_cores(&self) -> f64 {
+    fn full_speed_cores(&self) -> f64 {
         self.cores * 100.0 / f64::from(self.speed)
     }
 }
@@ -128,7 +128,7 @@
     latency: f64,
     high_samples: u32,
     /// End of the last high latency.
-    quiet_since: Time,
+    normal_since: Time,
     last_sample: Option<Time>,
     /// When the number of tasks of a class changed last.
     tasks_changed: Time,
@@ -136,7 +136,7 @@
     /// Time at which the last action is visible.
     settled_at: Time,
     /// Slow-down suffered with everything throttled, in seconds of doubled latency.
-    debt: f64,
+    accumulated_slowdown: f64,
     classes: BTreeMap<String, ClassState>,
 }
 
@@ -150,12 +150,12 @@
             scores: None,
             latency: 0.0,
             high_samples: 0,
-            quiet_since: Duration::ZERO,
+            normal_since: Duration::ZERO,
             last_sample: None,
             tasks_changed: Duration::ZERO,
             last_restored: None,
             settled_at: Duration::ZERO,
-            debt: 0.0,
+            accumulated_slowdown: 0.0,
             classes: BTreeMap::new(),
         }
     }
@@ -175,16 +175,18 @@
     /// of a throttled class would slow the service down too much. Urgent classes are always
     /// admitted; other work is throttled for them.
     pub fn blocked_classes(&self, now: Time) -> BTreeSet<String> {
-        let ratio = self.ratio();
-        let crowded = |class: &str, state: &ClassState| {
-            let more = self.harm(class, state) / f64::from(state.tasks.max(1));
-            state.speed < 100 && more >= NEGLIGIBLE / 2.0 && ratio + more > AIM
+        let predicted_ratio = self.predicted_ratio();
+        let would_exceed = |class: &str, state: &ClassState| {
+            let per_task = self.slowdown(class, state) / f64::from(state.tasks.max(1));
+            state.speed < 100
+                && per_task >= MIN_SLOWDOWN / 2.0
+                && predicted_ratio + per_task > SETPOINT_RATIO
         };
         let blocked_classes = self
             .classes
             .iter()
             .filter(|(_, state)| !state.urgent)
-            .filter(|(class, state)| now < state.held_until || crowded(class, state));
+            .filter(|(class, state)| now < state.blocked_until || would_exceed(class, state));
         blocked_classes.map(|(class, _)| class.clone()).collect()
     }
 
@@ -203,56 +205,60 @@
     }
 
     /// Slow-down by a class with the cores that it uses.
-    fn harm(&self, class: &str, state: &ClassState) -> f64 {
+    fn slowdown(&self, class: &str, state: &ClassState) -> f64 {
         self.score(class) * state.cores
     }
 
     /// Predicted latency relative to the baseline, with the cores that are in use. It is ahead of
     /// the measured one by its lag.
-    fn ratio(&self) -> f64 {
-        let harm: f64 = self.classes.iter().map(|(class, state)| self.harm(class, state)).sum();
-        1.0 + harm + self.scores.as_ref().map_or(0.0, Scores::error)
+    fn predicted_ratio(&self) -> f64 {
+        let slowdown: f64 =
+            self.classes.iter().map(|(class, state)| self.slowdown(class, state)).sum();
+        1.0 + slowdown + self.scores.as_ref().map_or(0.0, Scores::mean_error)
     }
 
-    fn reference(&self) -> f64 {
-        self.scores.as_ref().map_or(self.target.as_secs_f64() / HIGH, Scores::baseline)
+    fn reference_latency(&self) -> f64 {
+        self.scores.as_ref().map_or(self.target.as_secs_f64() / HIGH_RATIO, Scores::baseline)
     }
 
-    fn high_bound(&self) -> f64 {
-        HIGH.max(1.0 + NOISE.as_secs_f64() / self.reference())
+    fn high_ratio(&self) -> f64 {
+        HIGH_RATIO.max(1.0 + LATENCY_NOISE.as_secs_f64() / self.reference_latency())
     }
 
-    fn aim(&self) -> f64 {
-        AIM.max(1.0 + NOISE.as_secs_f64() / self.reference() * (AIM - 1.0) / (HIGH - 1.0))
+    fn setpoint_ratio(&self) -> f64 {
+        SETPOINT_RATIO.max(
+            1.0 + LATENCY_NOISE.as_secs_f64() / self.reference_latency() * (SETPOINT_RATIO - 1.0)
+                / (HIGH_RATIO - 1.0),
+        )
     }
 
     /// Takes the measurements of a second and returns what to do.
     pub fn observe(&mut self, now: Time, sample: &Sample) -> Option<Decision> {
         let elapsed = now.saturating_sub(self.last_sample.unwrap_or(now)).as_secs_f64();
         self.last_sample = Some(now);
-        self.note_classes(now, sample);
+        self.update_classes(now, sample);
         if sample.latency.is_zero() {
             // Without requests there is nothing to protect, and nothing to learn from.
             self.high_samples = 0;
             return self.restore(now, true);
         }
         self.latency = sample.latency.as_secs_f64();
-        self.learn(elapsed);
-        match self.ratio() > self.high_bound() {
+        self.update_scores(elapsed);
+        match self.predicted_ratio() > self.high_ratio() {
             true => {
                 self.high_samples += 1;
-                self.quiet_since = now;
-                self.act(now, elapsed.min(2.0))
+                self.normal_since = now;
+                self.throttle_or_evict(now, elapsed.min(2.0))
             }
             false => {
                 self.high_samples = 0;
-                self.debt = 0.0;
+                self.accumulated_slowdown = 0.0;
                 self.restore(now, false)
             }
         }
     }
 
-    fn note_classes(&mut self, now: Time, sample: &Sample) {
+    fn update_classes(&mut self, now: Time, sample: &Sample) {
         for class in sample.classes.keys() {
             self.classes.entry(class.clone()).or_default();
         }
@@ -268,37 +274,37 @@
         }
     }
 
-    fn learn(&mut self, elapsed: f64) {
+    fn update_scores(&mut self, elapsed: f64) {
         let cores: BTreeMap<String, f64> =
             self.classes.iter().map(|(class, state)| (class.clone(), state.cores)).collect();
         let idle = cores.values().all(|cores| *cores == 0.0);
-        let (latency, reference) = (self.latency, self.reference());
+        let (latency, reference_latency) = (self.latency, self.reference_latency());
         // Beside batch work, as after a restart, a low latency does not show what the baseline is.
         let within_target = latency <= self.target.as_secs_f64();
         let scores = match (&mut self.scores, idle) {
             (Some(scores), _) => scores,
-            (none, true) => none.insert(Scores::new(latency, true)),
+            (unset, true) => unset.insert(Scores::new(latency, true)),
             (_, false) if within_target => return,
-            (none, false) => none.insert(Scores::new(reference, false)),
+            (unset, false) => unset.insert(Scores::new(reference_latency, false)),
         };
         scores.learn(elapsed, self.lag.as_secs_f64(), latency, &cores);
     }
 
-    fn act(&mut self, now: Time, elapsed: f64) -> Option<Decision> {
-        if self.high_samples < HIGH_SAMPLES || now < self.settled_at {
+    fn throttle_or_evict(&mut self, now: Time, elapsed: f64) -> Option<Decision> {
+        if self.high_samples < MIN_HIGH_SAMPLES || now < self.settled_at {
             return None;
         }
-        if let Some(class) = self.suspect(now) {
+        if let Some(class) = self.throttle_candidate(now) {
             return Some(self.throttle(now, class));
         }
-        let excess = self.ratio() - 1.0;
-        match self.culprit() {
-            Some((class, harm)) => {
-                self.debt += elapsed * harm.min(excess);
-                (self.debt >= EVICTION_COST).then(|| self.evict(now, class))
+        let excess = self.predicted_ratio() - 1.0;
+        match self.eviction_candidate() {
+            Some((class, slowdown)) => {
+                self.accumulated_slowdown += elapsed * slowdown.min(excess);
+                (self.accumulated_slowdown >= EVICTION_COST_S).then(|| self.evict(now, class))
             }
             None => {
-                self.debt = 0.0;
+                self.accumulated_slowdown = 0.0;
                 None
             }
         }
@@ -306,13 +312,15 @@
 
     /// Class to throttle next: the one that was just restored, or the one with the most harm per
     /// core, which costs the least work. Urgent work comes last.
-    fn suspect(&self, now: Time) -> Option<String> {
-        if let Some(class) = self.restored_just_now(now) {
+    fn throttle_candidate(&self, now: Time) -> Option<String> {
+        if let Some(class) = self.recently_restored(now) {
             return Some(class);
         }
         self.classes
             .iter()
-            .filter(|(class, state)| state.speed > FLOOR && self.harm(class, state) >= NEGLIGIBLE)
+            .filter(|(class, state)| {
+                state.speed > MIN_SPEED && self.slowdown(class, state) >= MIN_SLOWDOWN
+            })
             .max_by(|(a, x), (b, y)| {
                 y.urgent.cmp(&x.urgent).then(self.score(a).total_cmp(&self.score(b)))
             })
@@ -321,7 +329,7 @@
 
     /// Undoing the last restore, and not throttling another class, keeps two classes from taking
     /// turns.
-    fn restored_just_now(&self, now: Time) -> Option<String> {
+    fn recently_restored(&self, now: Time) -> Option<String> {
         let class = self.last_restored.as_ref()?;
         let state = self.classes.get(class)?;
         let recent = state.restored_at.is_some_and(|at| now < at + state.restore_wait);
@@ -330,35 +338,35 @@
     }
 
     /// Fully throttled class that slows the service most, with its slow-down.
-    fn culprit(&self) -> Option<(String, f64)> {
+    fn eviction_candidate(&self) -> Option<(String, f64)> {
         self.classes
             .iter()
-            .filter(|(_, state)| state.tasks > 0 && !state.urgent && state.speed <= FLOOR)
-            .map(|(class, state)| (class.clone(), self.harm(class, state)))
-            .filter(|(_, harm)| *harm >= HARMFUL)
+            .filter(|(_, state)| state.tasks > 0 && !state.urgent && state.speed <= MIN_SPEED)
+            .map(|(class, state)| (class.clone(), self.slowdown(class, state)))
+            .filter(|(_, slowdown)| *slowdown >= EVICTION_SLOWDOWN)
             .max_by(|(_, one), (_, other)| one.total_cmp(other))
     }
 
     /// Speed at which the prediction is the aimed latency, in percent, rounded down.
-    fn fitting_speed(&self, class: &str, state: &ClassState) -> u8 {
-        let full = self.score(class) * state.full_cores();
-        if full <= 0.0 {
+    fn setpoint_speed(&self, class: &str, state: &ClassState) -> u8 {
+        let full_slowdown = self.score(class) * state.full_speed_cores();
+        if full_slowdown <= 0.0 {
             return 100;
         }
-        let room = self.aim() - self.ratio() + self.harm(class, state);
-        (room / full * 100.0).clamp(0.0, 100.0) as u8
+        let room = self.setpoint_ratio() - self.predicted_ratio() + self.slowdown(class, state);
+        (room / full_slowdown * 100.0).clamp(0.0, 100.0) as u8
     }
 
     fn throttle(&mut self, now: Time, class: String) -> Decision {
         let first_wait = self.lag * RESTORE_LAGS;
-        let unchanged = |at: Time| self.tasks_changed <= at;
+        let tasks_unchanged = |at: Time| self.tasks_changed <= at;
         let state = self.classes.get(&class).cloned().unwrap_or_default();
-        let most = state.speed.saturating_sub(SMALLEST_STEP);
-        let speed_percent = self.fitting_speed(&class, &state).min(most).max(FLOOR);
+        let max_speed = state.speed.saturating_sub(MIN_SPEED_STEP);
+        let speed_percent = self.setpoint_speed(&class, &state).min(max_speed).max(MIN_SPEED);
         let wait = state.restore_wait.max(first_wait);
         let restore_wait = match state.restored_at {
             // The restore brought the interference back.
-            Some(at) if now < at + RESTORE_WAIT_MAX && unchanged(at) => {
+            Some(at) if now < at + RESTORE_WAIT_MAX && tasks_unchanged(at) => {
                 (wait * 2).min(RESTORE_WAIT_MAX)
             }
             Some(at) if now >= at + RESTORE_WAIT_MAX => first_wait,
@@ -373,26 +381,26 @@
     fn evict(&mut self, now: Time, class: String) -> Decision {
         self.settled_at = now + self.lag * 2;
         // Another eviction that turns out to be needed does not have to wait as long.
-        self.debt = EVICTION_COST / 2.0;
+        self.accumulated_slowdown = EVICTION_COST_S / 2.0;
         let state = self.classes.entry(class.clone()).or_default();
-        state.hold = (state.hold * 2).clamp(HOLD, HOLD_MAX);
-        state.held_until = now + state.hold;
+        state.block_time = (state.block_time * 2).clamp(BLOCK_MIN, BLOCK_MAX);
+        state.blocked_until = now + state.block_time;
         Decision::Evict { class }
     }
 
     /// Loosens one throttle after a quiet time, as far as the latency will stay in bounds.
-    fn restore(&mut self, now: Time, unused: bool) -> Option<Decision> {
+    fn restore(&mut self, now: Time, no_requests: bool) -> Option<Decision> {
         if now < self.settled_at {
             return None;
         }
         let speed = |class: &str, state: &ClassState| {
-            let since = self.quiet_since.max(state.restored_at.unwrap_or_default());
-            let explore = EXPLORE_WAIT.max(state.restore_wait * 2);
-            let step = state.speed.saturating_add(SMALLEST_STEP).min(100);
-            let least = if now >= since + explore { step } else { 0 };
-            let fits = if unused { 100 } else { self.fitting_speed(class, state) };
+            let since = self.normal_since.max(state.restored_at.unwrap_or_default());
+            let probe_wait = PROBE_WAIT.max(state.restore_wait * 2);
+            let step = state.speed.saturating_add(MIN_SPEED_STEP).min(100);
+            let min_speed = if now >= since + probe_wait { step } else { 0 };
+            let fitting_speed = if no_requests { 100 } else { self.setpoint_speed(class, state) };
             let due = state.speed < 100 && state.tasks > 0 && now >= since + state.restore_wait;
-            Some(fits.max(least)).filter(|speed| due && *speed >= step)
+            Some(fitting_speed.max(min_speed)).filter(|speed| due && *speed >= step)
         };
         let (class, speed_percent) = self
             .classes
--- a/crates/core/src/colocation/calendar.rs
+++ b/crates/core/src/colocation/calendar.rs
@@ -7,10 +7,10 @@
 
 /// Part of the lead time, before the start, in which running tasks are also reduced. Earlier only
 /// new starts are refused, so that most tasks end by themselves.
-const ENFORCE_PART: u32 = 4;
+const ENFORCE_DIVISOR: u32 = 4;
 
 /// Returns the limits of a VM of `service` at `wall`.
-pub fn limits(document: &Document, service: &str, wall: SystemTime) -> Limits {
+pub fn limits(document: &Document, service: &str, wall_time: SystemTime) -> Limits {
     let classes = document.classes.iter().map(|(name, class)| (name.clone(), class.limit));
     Limits {
         service: document.services.get(service).map(|service| service.limit).unwrap_or_default(),
@@ -19,22 +19,22 @@
             .closings
             .values()
             .filter(|closing| closing.services.iter().any(|name| name == service))
-            .filter_map(|closing| closing_limit(closing, wall))
+            .filter_map(|closing| closing_limit(closing, wall_time))
             .reduce(strictest),
     }
 }
 
 /// Returns the limit of a closing, or `None` outside it and its lead time.
-fn closing_limit(closing: &Closing, wall: SystemTime) -> Option<ClosingLimit> {
+fn closing_limit(closing: &Closing, wall_time: SystemTime) -> Option<ClosingLimit> {
     let start = humantime::parse_rfc3339(&closing.start).ok()?;
     let end = humantime::parse_rfc3339(&closing.end).ok()?;
     let lead = Duration::from_secs(closing.lead_s);
     let prepare = start.checked_sub(lead).unwrap_or(SystemTime::UNIX_EPOCH);
-    let enforce = start.checked_sub(lead / ENFORCE_PART).unwrap_or(SystemTime::UNIX_EPOCH);
-    (prepare <= wall && wall < end).then(|| ClosingLimit {
+    let enforce = start.checked_sub(lead / ENFORCE_DIVISOR).unwrap_or(SystemTime::UNIX_EPOCH);
+    (prepare <= wall_time && wall_time < end).then(|| ClosingLimit {
         batch: closing.batch_limit,
         classes: closing.classes.clone(),
-        enforced: enforce <= wall,
+        enforced: enforce <= wall_time,
     })
 }
 
--- a/crates/core/src/tasks.rs
+++ b/crates/core/src/tasks.rs
@@ -21,20 +21,20 @@
 use crate::tasks::worker::{Claim, ClaimReply, ClaimRequest, StartTask, TaskLease};
 use crate::time::Time;
 
-mod effects;
+mod actions;
 mod listing;
 mod orders;
 pub mod worker;
 
 /// Age of the worker's last list above which nothing is admitted.
-const LIST_MAX_AGE: Duration = Duration::from_secs(5);
+const MAX_LIST_AGE: Duration = Duration::from_secs(5);
 /// Time for which tokens and usage of ended tasks are remembered.
-const MEMORY: Duration = Duration::from_secs(15 * 60);
+const HISTORY_RETENTION: Duration = Duration::from_secs(15 * 60);
 /// Time after which an unconfirmed stop is repeated.
-const STOP_REPEAT: Duration = Duration::from_secs(1);
+const STOP_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 /// Results, and bytes of their checkpoints, in one report. The rest follows in later reports.
-const RESULTS_PER_REPORT: usize = 512;
-const RESULT_BYTES_PER_REPORT: usize = 512 * 1024;
+const MAX_RESULTS: usize = 512;
+const MAX_RESULT_BYTES: usize = 512 * 1024;
 
 /// A task, whichever attempt runs it.
 pub type TaskKey = (JobId, TaskIndex);
@@ -87,7 +87,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Cause {
+enum StopCause {
     /// The owner ordered it, or a newer attempt waits.
     Ordered,
     /// The agent decided it.
@@ -102,11 +102,11 @@
     },
     Running,
     Stopping {
-        cause: Cause,
+        cause: StopCause,
         checkpoint: bool,
         /// Last try, and whether the worker accepted a stop.
-        tried: Option<Time>,
-        accepted: Option<Time>,
+        tried_at: Option<Time>,
+        accepted_at: Option<Time>,
     },
 }
 
@@ -119,30 +119,30 @@
     /// End of the lease that the worker has confirmed.
     renewed_until: Time,
     /// Set once the worker has confirmed that the task exists.
-    confirmed: Option<Time>,
+    confirmed_at: Option<Time>,
     /// An earlier start may still reach the worker.
-    in_doubt: bool,
+    start_unconfirmed: bool,
     checkpoint: Option<Bytes>,
     measured: Resources,
     worker_speed: u8,
 }
 
 #[derive(Debug, Clone)]
-struct Waiting {
+struct WaitingStart {
     order: StartOrder,
     lease_until: Time,
 }
 
 #[derive(Debug, Clone)]
-struct Memory {
+struct TaskHistory {
     token: Token,
     measured: Resources,
-    touched: Time,
+    updated_at: Time,
 }
 
 /// The report whose reply is awaited.
 #[derive(Debug, Clone)]
-struct Outstanding {
+struct PendingReport {
     sequence: u64,
     sent_at: Time,
     attempts: BTreeSet<AttemptId>,
@@ -157,7 +157,7 @@
 
 impl WorkerClock {
     /// Translates a time to the worker's clock, never to a later moment.
-    fn translate(&self, at: Time) -> u64 {
+    fn to_worker_ms(&self, at: Time) -> u64 {
         let ahead = at.saturating_sub(self.received_at).as_millis() as u64;
         let behind = self.received_at.saturating_sub(at).as_millis() as u64;
         (self.now_ms + ahead).saturating_sub(behind)
@@ -173,24 +173,24 @@
     epoch: Epoch,
     /// Epoch that the worker keeps for a successor of this process. Grants of a higher one are not
     /// obeyed yet.
-    kept_epoch: Epoch,
+    worker_epoch: Epoch,
     sequence: u64,
     /// Last challenge of an owner.
     challenge: u64,
-    outstanding: Option<Outstanding>,
+    pending_report: Option<PendingReport>,
     claim: Option<Claim>,
     clock: Option<WorkerClock>,
     attempts: BTreeMap<AttemptId, Attempt>,
     /// Newer attempts that wait until an older one is gone.
-    waiting: BTreeMap<TaskKey, Waiting>,
+    waiting: BTreeMap<TaskKey, WaitingStart>,
     results: BTreeMap<AttemptId, Outcome>,
     /// Committed by the owner, but still kept by the worker.
     acknowledged: BTreeSet<AttemptId>,
     removable: BTreeSet<AttemptId>,
-    memory: BTreeMap<TaskKey, Memory>,
+    history: BTreeMap<TaskKey, TaskHistory>,
     /// Speed and admission of classes, as decided by colocation.
     class_speeds: BTreeMap<String, u8>,
-    held_classes: BTreeSet<String>,
+    blocked_classes: BTreeSet<String>,
     draining: bool,
     events: Vec<Event>,
 }
@@ -203,10 +203,10 @@
             identity,
             ledger: Ledger::new(Resources::default(), lag),
             epoch: 0,
-            kept_epoch: 0,
+            worker_epoch: 0,
             sequence: 0,
             challenge: 0,
-            outstanding: None,
+            pending_report: None,
             claim: None,
             clock: None,
             attempts: BTreeMap::new(),
@@ -214,9 +214,9 @@
             results: BTreeMap::new(),
             acknowledged: BTreeSet::new(),
             removable: BTreeSet::new(),
-            memory: BTreeMap::new(),
+            history: BTreeMap::new(),
             class_speeds: BTreeMap::new(),
-            held_classes: BTreeSet::new(),
+            blocked_classes: BTreeSet::new(),
             draining: false,
             events: Vec::new(),
         }
@@ -235,14 +235,14 @@
     /// Returns the claim to make before the worker's tasks are listed: when there is none, and when
     /// the worker does not keep the epoch that was seen.
     pub fn claim_request(&self) -> Option<ClaimRequest> {
-        let due = self.claim.is_none() || self.kept_epoch < self.epoch;
+        let due = self.claim.is_none() || self.worker_epoch < self.epoch;
         due.then_some(ClaimRequest { keep: self.claim, epoch: self.epoch })
     }
 
     /// Records the reply to a claim.
     pub fn claimed(&mut self, claimed: ClaimReply) {
         self.claim = Some(claimed.claim);
-        self.kept_epoch = claimed.epoch;
+        self.worker_epoch = claimed.epoch;
         self.epoch = self.epoch.max(claimed.epoch);
     }
 
@@ -291,9 +291,9 @@
     }
 
     /// Sets the speed of classes (100 if absent) and the classes that are not admitted.
-    pub fn set_colocation(&mut self, speeds: BTreeMap<String, u8>, held: BTreeSet<String>) {
+    pub fn set_colocation(&mut self, speeds: BTreeMap<String, u8>, blocked: BTreeSet<String>) {
         self.class_speeds = speeds;
-        self.held_classes = held;
+        self.blocked_classes = blocked;
     }
 
     /// Evicts the newest running task of a class; tells whether there was one.
@@ -302,11 +302,11 @@
             .attempts
             .iter()
             .filter(|(_, attempt)| attempt.phase == Phase::Running && attempt.class == class)
-            .max_by_key(|(_, attempt)| attempt.confirmed)
+            .max_by_key(|(_, attempt)| attempt.confirmed_at)
             .map(|(id, _)| id.clone());
         match newest {
             Some(id) => {
-                self.stop_attempt(&id, Cause::Evicted, true, "interference");
+                self.stop_attempt(&id, StopCause::Evicted, true, "interference");
                 true
             }
             None => false,
@@ -324,7 +324,7 @@
         }
         let ids: Vec<AttemptId> = self.attempts.keys().cloned().collect();
         for id in ids {
-            self.stop_attempt(&id, Cause::Evicted, true, "drain");
+            self.stop_attempt(&id, StopCause::Evicted, true, "drain");
         }
     }
 
@@ -344,7 +344,7 @@
             measured: Resources::default(),
             speed_percent: 0,
         }));
-        self.outstanding = Some(Outstanding {
+        self.pending_report = Some(PendingReport {
             sequence: self.sequence,
             sent_at: now,
             attempts: running.iter().map(|task| task.attempt.clone()).collect(),
@@ -358,7 +358,7 @@
             sequence: self.sequence,
             state: if self.draining { AgentState::Leaving } else { AgentState::Ready },
             // The owner takes this as a promise that also outlives this process.
-            epoch: self.kept_epoch,
+            epoch: self.worker_epoch,
             batch_capacity: self.ledger.batch_capacity(),
             free: self.ledger.free(),
             urgent_free: self.ledger.urgent_free(),
@@ -383,8 +383,7 @@
         for (id, outcome) in &self.results {
             bytes += outcome_bytes(outcome);
             let first = results.is_empty();
-            match results.len() < RESULTS_PER_REPORT && (first || bytes <= RESULT_BYTES_PER_REPORT)
-            {
+            match results.len() < MAX_RESULTS && (first || bytes <= MAX_RESULT_BYTES) {
                 true => results.push(TaskResult { attempt: id.clone(), outcome: outcome.clone() }),
                 false => delayed.push(id.clone()),
             }
@@ -405,7 +404,7 @@
     fn finish(&mut self, now: Time, id: &AttemptId, outcome: Outcome) {
         self.ledger.release(id);
         if let Some(attempt) = self.attempts.remove(id) {
-            self.remember(now, id, attempt.measured);
+            self.record_history(now, id, attempt.measured);
         }
         self.event("attempt_ended", Some(id), outcome_name(&outcome).into());
         if !self.acknowledged.contains(id) {
@@ -413,18 +412,19 @@
         }
     }
 
-    fn remember(&mut self, now: Time, id: &AttemptId, measured: Resources) {
-        let fresh = Memory { token: id.token, measured: Resources::default(), touched: now };
-        let memory = self.memory.entry((id.job.clone(), id.task)).or_insert(fresh);
-        memory.token = memory.token.max(id.token);
-        memory.touched = now;
+    fn record_history(&mut self, now: Time, id: &AttemptId, measured: Resources) {
+        let new_history =
+            TaskHistory { token: id.token, measured: Resources::default(), updated_at: now };
+        let history = self.history.entry((id.job.clone(), id.task)).or_insert(new_history);
+        history.token = history.token.max(id.token);
+        history.updated_at = now;
         if !measured.is_zero() {
-            memory.measured = measured;
+            history.measured = measured;
         }
     }
 
     /// Begins to stop an attempt; a start that was not sent yet ends at once.
-    fn stop_attempt(&mut self, id: &AttemptId, cause: Cause, checkpoint: bool, reason: &str) {
+    fn stop_attempt(&mut self, id: &AttemptId, cause: StopCause, checkpoint: bool, reason: &str) {
         let Some(attempt) = self.attempts.get_mut(id) else { return };
         match &mut attempt.phase {
             Phase::Starting { sent: false } => {
@@ -434,10 +434,12 @@
                 self.event("attempt_ended", Some(id), format!("not started: {reason}"));
                 self.results.entry(id.clone()).or_insert(Outcome::Stopped { checkpoint });
             }
-            Phase::Stopping { cause: known, .. } if cause == Cause::Ordered => *known = cause,
+            Phase::Stopping { cause: current_cause, .. } if cause == StopCause::Ordered => {
+                *current_cause = cause
+            }
             Phase::Stopping { .. } => {}
             phase => {
-                *phase = Phase::Stopping { cause, checkpoint, tried: None, accepted: None };
+                *phase = Phase::Stopping { cause, checkpoint, tried_at: None, accepted_at: None };
                 self.ledger.mark_stopping(id);
                 self.event("attempt_stopping", Some(id), reason.into());
             }
--- a/crates/core/src/tasks/effects.rs
+++ b/crates/core/src/tasks/actions.rs
@@ -7,16 +7,18 @@
 use crate::tasks::worker::{Claim, StartTask, TaskLease};
 use crate::time::Time;
 
-use super::{Action, ActionResult, Attempt, Cause, Phase, Tasks, WorkerClock, STOP_REPEAT};
+use super::{
+    Action, ActionResult, Attempt, Phase, StopCause, Tasks, WorkerClock, STOP_RETRY_INTERVAL,
+};
 
 impl Tasks {
     /// Returns the effects that are due. Those that fail are returned again by later calls.
     pub fn actions(&mut self, now: Time) -> Vec<Action> {
         let Some(clock) = self.clock else { return Vec::new() };
         self.admit_waiting(now);
-        self.expire(now);
+        self.expire_leases(now);
         for relief in self.ledger.relieve(now) {
-            self.relieve(relief);
+            self.apply_relief(relief);
         }
         // Leases first: a slow worker must not let them end.
         let mut actions: Vec<Action> = self.renew_action(now, &clock).into_iter().collect();
@@ -53,8 +55,8 @@
             }),
             Action::Checkpoint(id) | Action::Stop(id) => match self.attempts.get_mut(id) {
                 Some(attempt) => {
-                    if let Phase::Stopping { tried, .. } = &mut attempt.phase {
-                        *tried = Some(now);
+                    if let Phase::Stopping { tried_at, .. } = &mut attempt.phase {
+                        *tried_at = Some(now);
                     }
                     true
                 }
@@ -68,21 +70,21 @@
     /// Takes the result of an action. A checkpoint is given with [`Tasks::checkpointed`].
     pub fn record_result(&mut self, now: Time, action: &Action, effect: ActionResult) {
         match (action, effect) {
-            (Action::Start(start), ActionResult::Done) => self.started(now, &start.attempt),
+            (Action::Start(start), ActionResult::Done) => self.mark_running(now, &start.attempt),
             (Action::Start(start), ActionResult::Refused(reason)) => {
-                self.start_refused(now, &start.attempt, reason);
+                self.refuse_start(now, &start.attempt, reason);
             }
             (Action::Start(start), ActionResult::Unknown) => {
                 if let Some(attempt) = self.attempts.get_mut(&start.attempt) {
-                    attempt.in_doubt = true;
+                    attempt.start_unconfirmed = true;
                 }
             }
             (Action::Renew { leases, until, .. }, ActionResult::Done) => {
-                self.renewed(leases, until)
+                self.record_renewal(leases, until)
             }
-            (Action::Stop(id), ActionResult::Done) => self.stop_accepted(now, id),
+            (Action::Stop(id), ActionResult::Done) => self.record_stop(now, id),
             // Without a checkpoint the task is stopped plainly, which also bars a late start.
-            (Action::Checkpoint(id), ActionResult::Refused(_)) => self.checkpoint_failed(id),
+            (Action::Checkpoint(id), ActionResult::Refused(_)) => self.skip_checkpoint(id),
             (Action::Throttle(id, percent), ActionResult::Done) => {
                 if let Some(attempt) = self.attempts.get_mut(id) {
                     attempt.worker_speed = *percent;
@@ -103,25 +105,25 @@
         }
     }
 
-    fn started(&mut self, now: Time, id: &AttemptId) {
+    fn mark_running(&mut self, now: Time, id: &AttemptId) {
         let Some(attempt) = self.attempts.get_mut(id) else { return };
-        attempt.confirmed.get_or_insert(now);
+        attempt.confirmed_at.get_or_insert(now);
         if let Phase::Starting { .. } = attempt.phase {
             attempt.phase = Phase::Running;
             self.event("attempt_started", Some(id), String::new());
         }
     }
 
-    fn start_refused(&mut self, now: Time, id: &AttemptId, reason: String) {
+    fn refuse_start(&mut self, now: Time, id: &AttemptId, reason: String) {
         let Some(attempt) = self.attempts.get(id) else { return };
         // An earlier try may have started it, and the task may have ended since.
-        if attempt.confirmed.is_some() {
+        if attempt.confirmed_at.is_some() {
             return;
         }
         // An earlier try may still arrive: its lease can end later on the worker's clock, because
         // each list gives another lower bound of that clock. Only a stop bars it.
-        if attempt.in_doubt {
-            return self.stop_attempt(id, Cause::Ordered, false, &reason);
+        if attempt.start_unconfirmed {
+            return self.stop_attempt(id, StopCause::Ordered, false, &reason);
         }
         let checkpoint = attempt.checkpoint.clone();
         let outcome = match attempt.phase {
@@ -131,7 +133,7 @@
         self.finish(now, id, outcome);
     }
 
-    fn renewed(&mut self, leases: &[TaskLease], until: &[Time]) {
+    fn record_renewal(&mut self, leases: &[TaskLease], until: &[Time]) {
         for (lease, until) in leases.iter().zip(until) {
             if let Some(attempt) = self.attempts.get_mut(&lease.attempt) {
                 attempt.renewed_until = attempt.renewed_until.max(*until);
@@ -139,24 +141,24 @@
         }
     }
 
-    fn stop_accepted(&mut self, now: Time, id: &AttemptId) {
+    fn record_stop(&mut self, now: Time, id: &AttemptId) {
         let phase = self.attempts.get_mut(id).map(|attempt| &mut attempt.phase);
-        if let Some(Phase::Stopping { accepted, .. }) = phase {
-            accepted.get_or_insert(now);
+        if let Some(Phase::Stopping { accepted_at, .. }) = phase {
+            accepted_at.get_or_insert(now);
         }
     }
 
-    fn checkpoint_failed(&mut self, id: &AttemptId) {
+    fn skip_checkpoint(&mut self, id: &AttemptId) {
         let phase = self.attempts.get_mut(id).map(|attempt| &mut attempt.phase);
-        if let Some(Phase::Stopping { checkpoint, tried, .. }) = phase {
+        if let Some(Phase::Stopping { checkpoint, tried_at, .. }) = phase {
             *checkpoint = false;
-            *tried = None;
+            *tried_at = None;
         }
     }
 
     /// Ends starts whose lease ran out before they were sent, and stops what the worker should
     /// have stopped by itself.
-    fn expire(&mut self, now: Time) {
+    fn expire_leases(&mut self, now: Time) {
         let expired: Vec<(AttemptId, Phase)> = self
             .attempts
             .iter()
@@ -169,16 +171,16 @@
                     let reason = "the lease ended before the start".to_owned();
                     self.finish(now, &id, Outcome::Refused { reason });
                 }
-                Phase::Running => self.stop_attempt(&id, Cause::Evicted, true, "lease ended"),
+                Phase::Running => self.stop_attempt(&id, StopCause::Evicted, true, "lease ended"),
                 _ => {}
             }
         }
     }
 
-    fn relieve(&mut self, relief: Relief) {
+    fn apply_relief(&mut self, relief: Relief) {
         match relief {
             Relief::Evict(id) => {
-                self.stop_attempt(&id, Cause::Evicted, true, "usage exceeds the VM's capacity");
+                self.stop_attempt(&id, StopCause::Evicted, true, "usage exceeds the VM's capacity");
             }
             Relief::Throttle(id) => self.event("growth_throttled", Some(&id), String::new()),
             Relief::Restore(id) => self.event("growth_restored", Some(&id), String::new()),
@@ -192,7 +194,7 @@
 
     fn stop_action(&self, now: Time, id: &AttemptId, attempt: &Attempt) -> Option<Action> {
         match attempt.phase {
-            Phase::Stopping { tried: Some(at), .. } if now < at + STOP_REPEAT => None,
+            Phase::Stopping { tried_at: Some(at), .. } if now < at + STOP_RETRY_INTERVAL => None,
             Phase::Stopping { checkpoint: true, .. } => Some(Action::Checkpoint(id.clone())),
             Phase::Stopping { .. } => Some(Action::Stop(id.clone())),
             _ => None,
@@ -208,7 +210,7 @@
         let due = self.attempts.iter().filter(|(_, attempt)| due(attempt));
         let (leases, until): (Vec<TaskLease>, Vec<Time>) = due
             .map(|(id, attempt)| {
-                let valid_until_ms = clock.translate(attempt.lease_until);
+                let valid_until_ms = clock.to_worker_ms(attempt.lease_until);
                 (TaskLease { attempt: id.clone(), valid_until_ms }, attempt.lease_until)
             })
             .unzip();
@@ -234,7 +236,7 @@
         let order = attempt.order.as_ref().filter(|_| starting && now < attempt.lease_until)?;
         Some(Action::Start(StartTask {
             claim,
-            valid_until_ms: clock.translate(attempt.lease_until),
+            valid_until_ms: clock.to_worker_ms(attempt.lease_until),
             attempt: id.clone(),
             team: order.team.clone(),
             class: order.class.clone(),
--- a/crates/core/src/tasks/listing.rs
+++ b/crates/core/src/tasks/listing.rs
@@ -10,7 +10,7 @@
 use crate::tasks::worker::{WorkerList, WorkerOutcome, WorkerTask};
 use crate::time::Time;
 
-use super::{Attempt, Cause, Phase, Tasks, WorkerClock, MEMORY};
+use super::{Attempt, Phase, StopCause, Tasks, WorkerClock, HISTORY_RETENTION};
 
 impl Tasks {
     /// Takes a list of the worker that was asked for at `asked_at` and arrived at `now`. Ignores it
@@ -33,10 +33,10 @@
         self.ledger.set_capacity(list.capacity);
         for task in &list.tasks {
             self.epoch = self.epoch.max(task.attempt.token.epoch);
-            self.remember(now, &task.attempt, task.usage);
+            self.record_history(now, &task.attempt, task.usage);
             match &task.outcome {
-                Some(outcome) => self.listed_result(now, &task.attempt, outcome),
-                None => self.listed_running(asked_at, now, list.now_ms, task),
+                Some(outcome) => self.apply_result(now, &task.attempt, outcome),
+                None => self.apply_running(asked_at, now, list.now_ms, task),
             }
         }
         let present: BTreeSet<&AttemptId> = list.tasks.iter().map(|task| &task.attempt).collect();
@@ -49,26 +49,26 @@
             .map(|task| task.attempt.clone())
             .collect();
         self.stop_superseded();
-        self.forget(now);
+        self.prune_history(now);
     }
 
-    fn listed_result(&mut self, now: Time, id: &AttemptId, outcome: &WorkerOutcome) {
+    fn apply_result(&mut self, now: Time, id: &AttemptId, outcome: &WorkerOutcome) {
         let known = self.acknowledged.contains(id) || self.results.contains_key(id);
         match self.attempts.get(id) {
             Some(attempt) => {
-                let outcome = translate(outcome, attempt);
+                let outcome = convert_outcome(outcome, attempt);
                 self.finish(now, id, outcome);
             }
             None if known => {}
             None => {
-                let outcome = translate_adopted(outcome);
+                let outcome = convert_adopted(outcome);
                 self.event("result_adopted", Some(id), String::new());
                 self.results.insert(id.clone(), outcome);
             }
         }
     }
 
-    fn listed_running(&mut self, asked_at: Time, now: Time, worker_ms: u64, task: &WorkerTask) {
+    fn apply_running(&mut self, asked_at: Time, now: Time, worker_ms: u64, task: &WorkerTask) {
         let id = &task.attempt;
         if !self.attempts.contains_key(id) {
             self.adopt(asked_at, now, worker_ms, task);
@@ -76,7 +76,7 @@
         self.ledger.measure(now, id, task.usage);
         let Some(attempt) = self.attempts.get_mut(id) else { return };
         attempt.worker_speed = task.speed_percent;
-        attempt.confirmed.get_or_insert(now);
+        attempt.confirmed_at.get_or_insert(now);
         if !task.usage.is_zero() {
             attempt.measured = task.usage;
         }
@@ -92,21 +92,21 @@
         let left = task.valid_until_ms.saturating_sub(worker_ms);
         // The worker read its clock after `asked_at`, so this is not later than the lease's end.
         let lease_until = asked_at + Time::from_millis(left);
-        let held = Held {
+        let reservation = Held {
             class: task.class.clone(),
             need: task.need,
             urgent: task.urgent,
             measured: task.usage,
         };
-        self.ledger.adopt(id.clone(), held);
+        self.ledger.adopt(id.clone(), reservation);
         let attempt = Attempt {
             order: None,
             class: task.class.clone(),
             phase: Phase::Running,
             lease_until,
             renewed_until: lease_until,
-            confirmed: Some(now),
-            in_doubt: false,
+            confirmed_at: Some(now),
+            start_unconfirmed: false,
             checkpoint: task.checkpoint.clone().map(Bytes::from),
             measured: Resources::default(),
             worker_speed: task.speed_percent,
@@ -114,10 +114,10 @@
         self.attempts.insert(id.clone(), attempt);
         self.event("attempt_adopted", Some(id), format!("lease_left_ms={left}"));
         if self.draining {
-            self.stop_attempt(id, Cause::Evicted, true, "drain");
+            self.stop_attempt(id, StopCause::Evicted, true, "drain");
         }
         if self.results.contains_key(id) || self.acknowledged.contains(id) {
-            self.stop_attempt(id, Cause::Ordered, false, "reported as ended");
+            self.stop_attempt(id, StopCause::Ordered, false, "reported as ended");
         }
     }
 
@@ -147,13 +147,13 @@
         let ids: Vec<AttemptId> = self.attempts.keys().cloned().collect();
         for pair in ids.windows(2) {
             if (&pair[0].job, pair[0].task) == (&pair[1].job, pair[1].task) {
-                self.stop_attempt(&pair[0], Cause::Ordered, false, "superseded");
+                self.stop_attempt(&pair[0], StopCause::Ordered, false, "superseded");
             }
         }
     }
 
-    fn forget(&mut self, now: Time) {
-        let held: BTreeSet<_> = self
+    fn prune_history(&mut self, now: Time) {
+        let in_use: BTreeSet<_> = self
             .attempts
             .keys()
             .chain(self.results.keys())
@@ -161,21 +161,23 @@
             .map(|id| (id.job.clone(), id.task))
             .chain(self.waiting.keys().cloned())
             .collect();
-        self.memory.retain(|key, memory| held.contains(key) || now < memory.touched + MEMORY);
+        self.history.retain(|key, history| {
+            in_use.contains(key) || now < history.updated_at + HISTORY_RETENTION
+        });
     }
 }
 
 /// Returns how an attempt ended that a list does not contain, or `None` if it may still exist.
 fn absent_outcome(asked_at: Time, restarted: bool, attempt: &Attempt) -> Option<Outcome> {
     let checkpoint = attempt.checkpoint.clone();
-    let lost = attempt.confirmed.is_some_and(|at| at <= asked_at);
+    let lost = attempt.confirmed_at.is_some_and(|at| at <= asked_at);
     match attempt.phase {
-        Phase::Stopping { cause: Cause::Ordered, accepted, .. } => {
-            let gone = lost || restarted || accepted.is_some_and(|at| at <= asked_at);
+        Phase::Stopping { cause: StopCause::Ordered, accepted_at, .. } => {
+            let gone = lost || restarted || accepted_at.is_some_and(|at| at <= asked_at);
             gone.then_some(Outcome::Stopped { checkpoint })
         }
-        Phase::Stopping { accepted, .. } => {
-            let gone = lost || restarted || accepted.is_some_and(|at| at <= asked_at);
+        Phase::Stopping { accepted_at, .. } => {
+            let gone = lost || restarted || accepted_at.is_some_and(|at| at <= asked_at);
             gone.then_some(Outcome::Evicted { checkpoint })
         }
         Phase::Running => (lost || restarted).then_some(Outcome::Evicted { checkpoint }),
@@ -189,22 +191,22 @@
     }
 }
 
-fn translate(outcome: &WorkerOutcome, attempt: &Attempt) -> Outcome {
-    let ordered = matches!(attempt.phase, Phase::Stopping { cause: Cause::Ordered, .. });
+fn convert_outcome(outcome: &WorkerOutcome, attempt: &Attempt) -> Outcome {
+    let ordered = matches!(attempt.phase, Phase::Stopping { cause: StopCause::Ordered, .. });
     match outcome {
         WorkerOutcome::Stopped { checkpoint } | WorkerOutcome::Expired { checkpoint } => {
-            let own = checkpoint.clone().map(Bytes::from);
-            let checkpoint = own.or_else(|| attempt.checkpoint.clone());
+            let reported = checkpoint.clone().map(Bytes::from);
+            let checkpoint = reported.or_else(|| attempt.checkpoint.clone());
             match ordered {
                 true => Outcome::Stopped { checkpoint },
                 false => Outcome::Evicted { checkpoint },
             }
         }
-        other => translate_adopted(other),
+        other => convert_adopted(other),
     }
 }
 
-fn translate_adopted(outcome: &WorkerOutcome) -> Outcome {
+fn convert_adopted(outcome: &WorkerOutcome) -> Outcome {
     match outcome {
         WorkerOutcome::Completed => Outcome::Completed,
         WorkerOutcome::Failed { reason } => Outcome::Failed { reason: reason.clone() },
--- a/crates/core/src/tasks/orders.rs
+++ b/crates/core/src/tasks/orders.rs
@@ -5,7 +5,7 @@
 use crate::resources::Resources;
 use crate::time::Time;
 
-use super::{Attempt, Cause, Phase, Tasks, Waiting, LIST_MAX_AGE};
+use super::{Attempt, Phase, StopCause, Tasks, WaitingStart, MAX_LIST_AGE};
 
 impl Tasks {
     /// Obeys the reply to the last report. Each report is answered once: duplicates, replies to
@@ -16,9 +16,10 @@
             self.event("old_epoch_refused", None, detail);
             return;
         }
-        let answered =
-            self.outstanding.take_if(|outstanding| outstanding.sequence == orders.sequence);
-        let Some(answered) = answered else {
+        let pending = self
+            .pending_report
+            .take_if(|pending_report| pending_report.sequence == orders.sequence);
+        let Some(pending) = pending else {
             let detail = format!("sequence={} last={}", orders.sequence, self.sequence);
             self.event("late_orders_refused", None, detail);
             return;
@@ -34,18 +35,18 @@
             self.acknowledge(id);
         }
         for stop in &orders.stops {
-            self.obey_stop(now, stop);
+            self.apply_stop(now, stop);
         }
-        let lease_until = answered.sent_at + orders.lease;
+        let lease_until = pending.sent_at + orders.lease;
         // A successor of this process would obey an earlier owner if the epoch were not kept first.
-        if lease_until <= now || self.kept_epoch < self.epoch {
+        if lease_until <= now || self.worker_epoch < self.epoch {
             return;
         }
-        for id in &answered.attempts {
+        for id in &pending.attempts {
             self.extend_lease(id, lease_until);
         }
         for start in orders.starts {
-            self.obey_start(now, start, lease_until);
+            self.apply_start(now, start, lease_until);
         }
     }
 
@@ -56,7 +57,7 @@
         }
     }
 
-    fn obey_stop(&mut self, now: Time, stop: &StopOrder) {
+    fn apply_stop(&mut self, now: Time, stop: &StopOrder) {
         let key = (stop.attempt.job.clone(), stop.attempt.task);
         match self.waiting.get(&key) {
             Some(waiting) if waiting.order.attempt == stop.attempt => {
@@ -64,7 +65,7 @@
                 self.waiting.remove(&key);
                 self.finish(now, &stop.attempt, Outcome::Stopped { checkpoint });
             }
-            _ => self.stop_attempt(&stop.attempt, Cause::Ordered, stop.checkpoint, "ordered"),
+            _ => self.stop_attempt(&stop.attempt, StopCause::Ordered, stop.checkpoint, "ordered"),
         }
     }
 
@@ -83,15 +84,15 @@
         }
     }
 
-    fn obey_start(&mut self, now: Time, order: StartOrder, lease_until: Time) {
+    fn apply_start(&mut self, now: Time, order: StartOrder, lease_until: Time) {
         let id = order.attempt.clone();
         let key = (id.job.clone(), id.task);
-        let known = self.memory.get(&key).map(|memory| memory.token);
-        let held = self.attempts.contains_key(&id)
+        let known = self.history.get(&key).map(|history| history.token);
+        let exists = self.attempts.contains_key(&id)
             || self.results.contains_key(&id)
             || self.acknowledged.contains(&id);
         match known {
-            _ if held => return self.event("duplicate_start_ignored", Some(&id), String::new()),
+            _ if exists => return self.event("duplicate_start_ignored", Some(&id), String::new()),
             Some(token) if token == id.token => {
                 return self.event("duplicate_start_ignored", Some(&id), String::new());
             }
@@ -102,18 +103,18 @@
             }
             _ => {}
         }
-        self.remember(now, &id, Resources::default());
+        self.record_history(now, &id, Resources::default());
         if self.draining {
             return self.refuse(id, "the agent is leaving".into());
         }
         for older in self.older_attempts(&id) {
-            self.stop_attempt(&older, Cause::Ordered, false, "a newer attempt waits");
+            self.stop_attempt(&older, StopCause::Ordered, false, "a newer attempt waits");
         }
         match self.older_attempts(&id).is_empty() {
             true => self.admit(now, order, lease_until),
             false => {
                 self.event("start_waiting", Some(&id), String::new());
-                let replaced = self.waiting.insert(key, Waiting { order, lease_until });
+                let replaced = self.waiting.insert(key, WaitingStart { order, lease_until });
                 if let Some(replaced) = replaced {
                     self.refuse(replaced.order.attempt, "a newer attempt replaced it".into());
                 }
@@ -138,18 +139,18 @@
     fn admit(&mut self, now: Time, order: StartOrder, lease_until: Time) {
         let id = order.attempt.clone();
         let age = self.clock.map(|clock| now.saturating_sub(clock.received_at));
-        if age.is_none_or(|age| age > LIST_MAX_AGE) {
+        if age.is_none_or(|age| age > MAX_LIST_AGE) {
             return self.refuse(id, "the worker does not respond".into());
         }
-        if self.held_classes.contains(&order.class) {
+        if self.blocked_classes.contains(&order.class) {
             return self.refuse(id, "class slows the VM's service".into());
         }
         let key = (id.job.clone(), id.task);
         // Usage of an earlier attempt corrects a wrong declaration.
-        let measured = self.memory.get(&key).map(|memory| memory.measured).unwrap_or_default();
-        let held =
+        let measured = self.history.get(&key).map(|history| history.measured).unwrap_or_default();
+        let reservation =
             Held { class: order.class.clone(), need: order.need, urgent: order.urgent, measured };
-        if let Err(refusal) = self.ledger.admit(id.clone(), held) {
+        if let Err(refusal) = self.ledger.admit(id.clone(), reservation) {
             return self.refuse(id, refusal.to_string());
         }
         self.event("start_admitted", Some(&id), format!("class={}", order.class));
@@ -158,8 +159,8 @@
             phase: Phase::Starting { sent: false },
             lease_until,
             renewed_until: lease_until,
-            confirmed: None,
-            in_doubt: false,
+            confirmed_at: None,
+            start_unconfirmed: false,
             checkpoint: order.checkpoint.clone(),
             measured: Resources::default(),
             worker_speed: 100,
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -7,7 +7,9 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use peridotfold_core::admission::seen::{NUMBERS_PER_SOURCE, RETENTION, SOURCES, SOURCE_SILENCE};
+use peridotfold_core::admission::history::{
+    INCARNATION_IDLE, MAX_INCARNATIONS, NUMBERS_PER_INCARNATION, RETENTION,
+};
 use peridotfold_core::admission::{Action, Admission, Ending, Limits, Offer, Refusal};
 use peridotfold_core::message::request::{CancelReply, RefuseReason, RequestId};
 use peridotfold_core::time::Time;
@@ -267,13 +269,13 @@
 #[test]
 fn forgetting_for_count_never_readmits_an_id() {
     let mut admission = Admission::new(LIMITS);
-    let total = NUMBERS_PER_SOURCE as u64 * 3;
+    let total = NUMBERS_PER_INCARNATION as u64 * 3;
     for number in 0..total {
         let id = id(0, 1, number);
         assert_eq!(admission.offer(ms(0), &id, ms(1_000)), Offer::Start);
         admission.finish(ms(0), &id, Ending::Answered);
     }
-    assert!(admission.remembered() <= NUMBERS_PER_SOURCE);
+    assert!(admission.history_len() <= NUMBERS_PER_INCARNATION);
     for number in (0..total).step_by(97) {
         assert_eq!(admission.offer(ms(0), &id(0, 1, number), ms(1_000)), Offer::Repeated);
     }
@@ -287,13 +289,13 @@
     let later = RETENTION * 3;
     assert_eq!(admission.offer(later, &id(0, 1, 9), later + ms(100)), Offer::Start);
     assert_ne!(admission.offer(later, &id(0, 1, 5), later + ms(100)), Offer::Start);
-    assert_eq!(admission.remembered(), 1, "the cancelled id was not dropped");
+    assert_eq!(admission.history_len(), 1, "the cancelled id was not dropped");
 }
 
 #[test]
 fn table_of_incarnations_is_bounded_and_recovers() {
     let mut admission = Admission::new(LIMITS);
-    for incarnation in 0..SOURCES as u64 {
+    for incarnation in 0..MAX_INCARNATIONS as u64 {
         admission.cancel(ms(0), &id(0, incarnation, 1));
     }
     let new = id(1, 7, 1);
@@ -301,7 +303,7 @@
     assert!(matches!(full, Offer::Refused(Refusal { reason: RefuseReason::Overloaded, .. })));
     // An id that is not remembered must not be promised to be refused later.
     assert_eq!(admission.cancel(ms(1), &id(2, 7, 1)).0, CancelReply::Done);
-    let later = SOURCE_SILENCE + ms(1);
+    let later = INCARNATION_IDLE + ms(1);
     assert_eq!(admission.offer(later, &new, later + ms(1_000)), Offer::Start);
 }
 
