--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -1,8 +1,10 @@
-//! Admission of requests at an agent: slots, connections, a bounded queue with deadlines, drain.
+//! Admission control for the requests to one upstream: concurrency limits, a bounded queue with
+//! deadlines, and draining.
 //!
-//! A request holds a slot and a connection from its start. A response of unknown length that stays
-//! open gives its slot back and keeps its connection ([`Admission::detach`]), so that feeds do not
-//! use up the slots.
+//! An agent runs beside each upstream and forwards requests to it that arrive from the entries,
+//! which are the front-end processes. A running request holds a slot, which limits concurrent
+//! processing, and a connection to the upstream. A streaming response releases its slot and keeps
+//! its connection ([`Admission::detach`]), so that open streams do not use up the slots.
 
 pub mod estimate;
 pub mod history;
@@ -15,74 +17,84 @@
 use estimate::ServiceTime;
 use history::{RequestHistory, RequestState};
 
-/// Bounds of the retry-after time in refusals.
+/// Lower bound of the retry-after time in refusals.
 const RETRY_AFTER_MIN: Duration = Duration::from_millis(20);
+/// Upper bound of the retry-after time in refusals.
 const RETRY_AFTER_MAX: Duration = Duration::from_secs(30);
-/// Retry-after time when nothing can be estimated.
+/// Retry-after time when the wait for a slot cannot be estimated.
 const RETRY_AFTER_UNKNOWN: Duration = Duration::from_secs(1);
 
-/// What an upstream may be given.
+/// Limits on concurrent and queued requests of an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
+    /// Requests that are processed at the same time.
     pub slots: u32,
+    /// Open connections, including those of streaming responses.
     pub connections: u32,
+    /// Requests that wait for a slot.
     pub queue: u32,
 }
 
-/// A request that is certainly not run.
+/// Refusal of a request that has not run and will not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
     pub reason: RefuseReason,
     pub retry_after: Duration,
 }
 
-/// Decision about an arriving request.
+/// Decision on an arriving request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Offer {
+    /// The caller starts the request now.
     Start,
-    /// An [`Action`] follows.
+    /// The request waits for a slot; an [`Action`] starts or refuses it later.
     Queued,
     Refused(Refusal),
-    /// The id was admitted before, so its first copy may run or have run.
+    /// The id may have been admitted before, so an earlier copy may be running or have run.
     Repeated,
 }
 
-/// What has to be done with a request that was queued or is running.
+/// Action that the caller has to perform on a queued or running request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
     Start(RequestId),
     Refuse(RequestId, Refusal),
-    /// The entry no longer wants the running request.
+    /// Abort a running request that the entry has cancelled.
     Abort(RequestId),
 }
 
-/// How a started request ended.
+/// Result of a started request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ending {
     Answered,
-    /// Failed or was aborted; it may have run.
+    /// The request failed or was aborted; the upstream may have processed it.
     Failed,
     /// Nothing was sent to the upstream.
     NotRun,
 }
 
-/// Load as announced to entries.
+/// Load of an upstream, as announced to entries for routing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Load {
-    /// Slots that can be used, which is less than the limit when feeds hold the connections.
+    /// Usable slots: below the configured limit while streams hold most of the connections.
     pub slots: u32,
+    /// Requests that hold a slot.
     pub running: u32,
-    /// Open responses that gave their slot back.
+    /// Streaming responses that have released their slot.
     pub streams: u32,
     pub queued: u32,
+    /// Mean service time, or the mean age of the running requests if that is higher.
     pub latency: Duration,
 }
 
+/// Limited resource that a running request holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum HeldResource {
+    /// A slot and a connection.
     Slot,
+    /// A connection only, for a streaming response.
     Connection,
-    /// Waits for another request with the same idempotency key.
+    /// Neither: the request shares the answer of another one with the same idempotency key.
     Nothing,
 }
 
@@ -102,17 +114,19 @@
 #[derive(Debug)]
 pub struct Admission {
     limits: Limits,
+    /// Set while the agent drains; new requests are refused.
     leaving: bool,
     running: HashMap<RequestId, Running>,
     queue: VecDeque<Queued>,
     used_slots: u32,
+    /// Running requests that hold only a connection.
     streams: u32,
     history: RequestHistory,
     service_time: ServiceTime,
 }
 
 impl Admission {
-    /// Builds the state of an upstream without requests.
+    /// Creates the state of an upstream without requests.
     pub fn new(limits: Limits) -> Self {
         Admission {
             limits,
@@ -126,18 +140,18 @@
         }
     }
 
-    /// Changes the limits. Requests that run above lowered limits are not interrupted.
+    /// Changes the limits. Running requests continue even if they exceed the new limits.
     pub fn set_limits(&mut self, now: Time, limits: Limits) -> Vec<Action> {
         self.limits = limits;
         self.start_queued(now)
     }
 
-    /// Decides about an arriving request that has to be answered before `deadline`.
+    /// Starts, queues or refuses an arriving request that has to be answered before `deadline`.
     pub fn offer(&mut self, now: Time, id: &RequestId, deadline: Time) -> Offer {
         if let Some(offer) = self.repeated_offer(id) {
             return offer;
         }
-        if let Some(refusal) = self.check(now, deadline) {
+        if let Some(refusal) = self.refusal_for(now, deadline) {
             self.history.record(now, id, RequestState::Refused);
             return Offer::Refused(refusal);
         }
@@ -152,8 +166,8 @@
         Offer::Queued
     }
 
-    /// Admits a request that needs neither slot nor connection because it waits for, or repeats,
-    /// the answer to another one. Never returns [`Offer::Queued`].
+    /// Admits a request that needs neither slot nor connection because it shares the answer of
+    /// another request with the same idempotency key. Never returns [`Offer::Queued`].
     pub fn join(&mut self, now: Time, id: &RequestId) -> Offer {
         if let Some(offer) = self.repeated_offer(id) {
             return offer;
@@ -166,7 +180,8 @@
         Offer::Start
     }
 
-    /// Refuses a request for a reason found elsewhere, so that a late copy is refused as well.
+    /// Refuses a request for a reason that the caller found, and records its id so that later copies
+    /// are refused as well.
     pub fn refuse(&mut self, now: Time, id: &RequestId, reason: RefuseReason) -> Offer {
         if let Some(offer) = self.repeated_offer(id) {
             return offer;
@@ -175,7 +190,7 @@
         Offer::Refused(self.build_refusal(reason))
     }
 
-    /// Gives back the slot of a running request whose response stays open.
+    /// Releases the slot of a running request whose response is streamed.
     pub fn detach(&mut self, now: Time, id: &RequestId) -> Vec<Action> {
         match self.running.get_mut(id) {
             Some(running) if running.resource == HeldResource::Slot => {
@@ -188,7 +203,7 @@
         }
     }
 
-    /// Ends a started request.
+    /// Releases the resources of a started request that has ended.
     pub fn finish(&mut self, now: Time, id: &RequestId, ending: Ending) -> Vec<Action> {
         let Some(running) = self.running.remove(id) else {
             return Vec::new();
@@ -211,7 +226,7 @@
         self.start_queued(now)
     }
 
-    /// Gives up a request. After [`CancelReply::NotStarted`] it is never started.
+    /// Cancels a request. After [`CancelReply::NotStarted`] the request is never started.
     pub fn cancel(&mut self, now: Time, id: &RequestId) -> (CancelReply, Vec<Action>) {
         if self.running.contains_key(id) {
             return (CancelReply::Running, vec![Action::Abort(id.clone())]);
@@ -223,7 +238,7 @@
             return (CancelReply::NotStarted, vec![Action::Refuse(id.clone(), refusal)]);
         }
         let reply = match self.history.state(id) {
-            // An id that cannot be remembered could still be admitted later.
+            // An id that cannot be recorded could still be admitted later.
             None if !self.history.record(now, id, RequestState::Refused) => CancelReply::Done,
             None | Some(RequestState::Refused) => CancelReply::NotStarted,
             Some(RequestState::Admitted | RequestState::Ended | RequestState::BelowFloor) => {
@@ -233,7 +248,8 @@
         (reply, Vec::new())
     }
 
-    /// Refuses queued requests whose deadline has passed. Due at [`Admission::next_deadline`].
+    /// Refuses queued requests whose deadline has passed. To be called at
+    /// [`Admission::next_deadline`].
     pub fn tick(&mut self, now: Time) -> Vec<Action> {
         let refusal = self.build_refusal(RefuseReason::DeadlinePassed);
         let mut actions = Vec::new();
@@ -249,12 +265,12 @@
         actions
     }
 
-    /// Refuses new requests from now on. Queued and running ones go on.
+    /// Starts draining: refuses new requests; queued and running requests continue.
     pub fn leave(&mut self) {
         self.leaving = true;
     }
 
-    /// Earliest deadline in the queue.
+    /// Returns the earliest deadline of the queued requests.
     pub fn next_deadline(&self) -> Option<Time> {
         self.queue.iter().map(|queued| queued.deadline).min()
     }
@@ -269,7 +285,7 @@
         self.queue.is_empty() && self.running.is_empty()
     }
 
-    /// Load as announced to entries.
+    /// Load of an upstream, as announced to entries for routing.
     pub fn load(&self, now: Time) -> Load {
         Load {
             slots: self.usable_slots(),
@@ -280,12 +296,12 @@
         }
     }
 
-    /// Number of ids remembered.
+    /// Returns the number of request ids whose state is kept.
     pub fn history_len(&self) -> usize {
         self.history.len()
     }
 
-    /// Expected time until a request that arrives now gets a slot.
+    /// Returns the expected time until a request that arrives now gets a slot.
     pub fn expected_wait(&self) -> Duration {
         match self.usable_slots() {
             0 => RETRY_AFTER_UNKNOWN,
@@ -294,6 +310,7 @@
         }
     }
 
+    /// Returns the decision for an id that was recorded before, or `None` for a new id.
     fn repeated_offer(&self, id: &RequestId) -> Option<Offer> {
         match self.history.state(id)? {
             RequestState::Refused => {
@@ -305,12 +322,13 @@
         }
     }
 
-    fn check(&self, now: Time, deadline: Time) -> Option<Refusal> {
+    /// Returns the refusal of a new request if it cannot be admitted now.
+    fn refusal_for(&self, now: Time, deadline: Time) -> Option<Refusal> {
         let reason = match () {
             () if self.leaving => RefuseReason::Leaving,
             () if deadline <= now => RefuseReason::DeadlinePassed,
-            // With a free slot the request runs even if it is expected to miss its deadline:
-            // otherwise an estimate that is too high could never be corrected.
+            // With a free slot the request runs even if the estimate says that it will miss its
+            // deadline. Otherwise an estimate that is too high could never be corrected.
             () if self.queue.is_empty() && self.has_free_slot() => return None,
             () if self.usable_slots() == 0 => RefuseReason::Overloaded,
             () if self.queue.len() >= self.limits.queue as usize => RefuseReason::Overloaded,
@@ -332,6 +350,7 @@
         Refusal { reason, retry_after }
     }
 
+    /// Returns the slots for which connections are left besides those of streams.
     fn usable_slots(&self) -> u32 {
         self.limits.slots.min(self.limits.connections.saturating_sub(self.streams))
     }
@@ -340,8 +359,8 @@
         self.used_slots < self.usable_slots()
     }
 
-    /// Mean time since the start of the requests in slots. Shows an upstream that hangs, which
-    /// yields no finished request to measure.
+    /// Returns the mean age of the requests that hold a slot. Reveals an upstream that hangs, because
+    /// no request finishes there to yield a service time.
     fn mean_age(&self, now: Time) -> Duration {
         let ages = self.running.values().filter(|running| running.resource == HeldResource::Slot);
         let sum: Duration = ages.map(|running| now.saturating_sub(running.started_at)).sum();
@@ -353,8 +372,8 @@
         self.running.insert(id, Running { started_at: now, resource: HeldResource::Slot });
     }
 
-    /// Starts queued requests while there is room. One that would end after its deadline is
-    /// refused instead, since its answer would be of no use.
+    /// Starts queued requests while slots are free. Refuses those expected to miss their deadline,
+    /// because a late answer is useless.
     fn start_queued(&mut self, now: Time) -> Vec<Action> {
         let mut actions = Vec::new();
         while self.has_free_slot() {
--- a/crates/core/src/colocation.rs
+++ b/crates/core/src/colocation.rs
@@ -1,12 +1,12 @@
-//! Protection of a VM's service from batch work.
+//! Feedback controller that limits the interference of batch tasks with the service on the same VM.
 //!
-//! The controller learns the service's latency without interference, and for each pair of service
-//! and batch class how much one core of the class slows the service down. From these scores it
-//! predicts the effect of each change of a speed. The class with the most harm per core is
-//! throttled first, as far as the prediction requires, and a throttle is loosened as far as the
-//! prediction allows. A restore that brings the interference back although no tasks came or went
-//! is undone, and the next one waits twice as long: under constant load the number of reversals is
-//! therefore bounded.
+//! The controller estimates the baseline, which is the service's latency without batch load, and
+//! for each batch class a score: the increase in latency, relative to the baseline, that one core
+//! of the class causes. The scores predict the latency after a change of a class's CPU speed. The
+//! class with the highest score is throttled first, only as far as the prediction requires. Speed
+//! is restored only as far as the prediction allows. A restore that raises the latency again while
+//! no task started or ended is reverted, and the wait before the next restore doubles. This bounds
+//! the number of reversals under constant load.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -18,56 +18,59 @@
 pub mod calendar;
 mod scores;
 
-/// Latency above the baseline at which batch work is throttled. Below the target of 1.2, so that
-/// the tail stays under it while an effect is awaited. With 1.18, and 1.16 as the aim, the service
-/// stayed slow for 87 % of an hour under constant load in one seed of the test; with 1.17 and 1.15,
-/// for 12.1 % in another.
+/// Ratio of latency to baseline above which batch classes are throttled. It is below the target of
+/// 1.2 because the latency can rise further before a throttle takes effect. In the simulation
+/// test, with 1.18 and a setpoint of 1.16 the service was slow for 87 % of an hour in one seed;
+/// with 1.17 and 1.15 it was slow for 12.1 % in another.
 const HIGH_RATIO: f64 = 1.16;
-/// Predicted latency up to which a throttle is loosened, and to which batch work is throttled.
+/// Ratio of predicted latency to baseline that speeds are adjusted to.
 const SETPOINT_RATIO: f64 = 1.14;
-/// Smallest difference that counts; keeps the noise of very short latencies out.
+/// Increase in latency that is ignored as measurement noise. Matters for very short latencies.
 const LATENCY_NOISE: Duration = Duration::from_micros(300);
-/// Consecutive high samples before the first action.
+/// Consecutive samples above [`HIGH_RATIO`] before the controller acts.
 const MIN_HIGH_SAMPLES: u32 = 2;
 /// Lowest speed of a throttled class, in percent.
 const MIN_SPEED: u8 = 10;
-/// Smallest change of a speed, in percent.
+/// Smallest change of a class's speed, in percentage points.
 const MIN_SPEED_STEP: u8 = 10;
-/// First wait before a restore, in lags. A throttle waits two lags.
+/// Initial wait before a restore, in multiples of the measurement lag.
 const RESTORE_LAGS: u32 = 6;
-/// Quiet time after which a throttle is loosened against the prediction, which may be out of date.
+/// Time without high latency after which speed is raised by one step even if the prediction forbids
+/// it, because the scores may be out of date.
 const PROBE_WAIT: Duration = Duration::from_secs(2 * 60);
+/// Upper bound of the wait before a restore, which doubles with each reverted restore.
 const RESTORE_WAIT_MAX: Duration = Duration::from_secs(30 * 60);
-/// Slow-down by a class below which throttling it further is no use.
+/// Relative slowdown of the service by a class below which the class is not throttled further.
 const MIN_SLOWDOWN: f64 = 0.02;
-/// Slow-down by a fully throttled class from which on it may be evicted.
+/// Relative slowdown of the service at which a class at [`MIN_SPEED`] may be evicted.
 const EVICTION_SLOWDOWN: f64 = 0.05;
-/// Slow-down, as seconds of doubled latency, that has to be saved by an eviction. Stands for the
-/// work lost and the doubts that an eviction raises. With 30 s, a slow-down of 25 % that throttling
-/// did not cure lasted for 3 min before each eviction.
+/// Accumulated slowdown that triggers an eviction, in seconds of doubled latency. Stands for
+/// the cost of an eviction: the work lost and the uncertainty about its effect. With
+/// 30 s, a slowdown of 25 % that throttling could not reduce lasted 3 min before each eviction.
 const EVICTION_COST_S: f64 = 10.0;
-/// Time for which a class is not admitted after an eviction; doubles with each further one.
+/// Time for which a class is not admitted after its first eviction. Doubles with each further
+/// eviction, up to [`BLOCK_MAX`].
 const BLOCK_MIN: Duration = Duration::from_secs(120);
 const BLOCK_MAX: Duration = Duration::from_secs(60 * 60);
 
-/// Batch work of one class on the VM.
+/// Load of one batch class on the VM.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClassLoad {
     pub tasks: u32,
-    /// Processors used, in thousandths of a core.
+    /// CPU usage in thousandths of a core.
     pub cpu_milli: u64,
     pub urgent: bool,
 }
 
-/// Measurements of about one second.
+/// Measurements over one control period of about one second.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Sample {
-    /// Zero if no request was measured.
+    /// Latency of the service; zero if the period had no requests.
     pub latency: Duration,
     pub classes: BTreeMap<String, ClassLoad>,
 }
 
-/// A decision of the controller.
+/// Change of a class's CPU speed, or an eviction, that the controller requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Decision {
     Throttle {
@@ -78,7 +81,7 @@
         class: String,
         speed_percent: u8,
     },
-    /// Evict the newest task of the class, with a checkpoint.
+    /// Evict the newest task of the class after taking a checkpoint.
     Evict {
         class: String,
     },
@@ -88,10 +91,10 @@
 struct ClassState {
     speed: u8,
     tasks: u32,
-    /// Cores in use.
+    /// CPU usage in cores at the current speed.
     cores: f64,
     urgent: bool,
-    /// Wait before the next restore; doubles when a restore is undone.
+    /// Wait before the next restore; doubles when a restore is reverted.
     restore_wait: Duration,
     restored_at: Option<Time>,
     blocked_until: Time,
@@ -114,12 +117,13 @@
 }
 
 impl ClassState {
+    /// Returns the CPU usage in cores that is expected at full speed.
     fn full_speed_cores(&self) -> f64 {
         self.cores * 100.0 / f64::from(self.speed)
     }
 }
 
-/// Controller of one VM.
+/// Colocation controller of one VM.
 #[derive(Debug, Clone)]
 pub struct Colocation {
     lag: Duration,
@@ -127,22 +131,22 @@
     scores: Option<Scores>,
     latency: f64,
     high_samples: u32,
-    /// End of the last high latency.
+    /// Time of the last high latency.
     normal_since: Time,
     last_sample: Option<Time>,
-    /// When the number of tasks of a class changed last.
+    /// Time at which the number of tasks of any class last changed.
     tasks_changed: Time,
     last_restored: Option<String>,
-    /// Time at which the last action is visible.
+    /// Time from which the measurements show the effect of the last decision: two lags after it.
     settled_at: Time,
-    /// Slow-down suffered with everything throttled, in seconds of doubled latency.
+    /// Slowdown since no class can be throttled further, in seconds of doubled latency.
     accumulated_slowdown: f64,
     classes: BTreeMap<String, ClassState>,
 }
 
 impl Colocation {
-    /// Builds the controller of a VM. `lag` is the lag of its measurements, `target` the latency
-    /// to protect until one without interference is known.
+    /// Creates a controller. `lag` is the delay with which measurements show a change of load.
+    /// `target` is the latency limit that applies until a baseline is known.
     pub fn new(lag: Duration, target: Duration) -> Self {
         Colocation {
             lag,
@@ -160,20 +164,21 @@
         }
     }
 
-    /// Sets the latency to protect while none without interference is known.
+    /// Sets the latency limit that applies until a baseline is known.
     pub fn set_target(&mut self, target: Duration) {
         self.target = target;
     }
 
-    /// Speeds of the classes that are throttled, in percent.
+    /// Returns the speeds of the throttled classes, in percent of full speed.
     pub fn speeds(&self) -> BTreeMap<String, u8> {
         let throttled = self.classes.iter().filter(|(_, state)| state.speed < 100);
         throttled.map(|(class, state)| (class.clone(), state.speed)).collect()
     }
 
-    /// Classes that are not admitted for now: for a time after an eviction, and while one more task
-    /// of a throttled class would slow the service down too much. Urgent classes are always
-    /// admitted; other work is throttled for them.
+    /// Returns the classes whose tasks are not admitted at `now`. A class is blocked for a time
+    /// after an eviction, and while one more task of a throttled class would raise the predicted
+    /// latency above the setpoint. Urgent classes are never blocked; other classes are throttled
+    /// to make room for them.
     pub fn blocked_classes(&self, now: Time) -> BTreeSet<String> {
         let predicted_ratio = self.predicted_ratio();
         let would_exceed = |class: &str, state: &ClassState| {
@@ -190,7 +195,7 @@
         blocked_classes.map(|(class, _)| class.clone()).collect()
     }
 
-    /// Slow-down of the service against its latency without interference, in percent.
+    /// Returns the increase of the last measured latency over the baseline, in percent.
     pub fn pressure_percent(&self) -> u32 {
         let baseline = self.scores.as_ref().map_or(0.0, Scores::baseline);
         match baseline > 0.0 && self.latency > baseline {
@@ -199,32 +204,35 @@
         }
     }
 
-    /// Learned slow-down of the VM's service by one core of the class.
+    /// Returns the estimated slowdown of the service per core of the class, relative to the baseline.
     pub fn score(&self, class: &str) -> f64 {
         self.scores.as_ref().and_then(|scores| scores.score(class)).unwrap_or(0.0)
     }
 
-    /// Slow-down by a class with the cores that it uses.
+    /// Returns the slowdown of the service by a class at its current CPU usage.
     fn slowdown(&self, class: &str, state: &ClassState) -> f64 {
         self.score(class) * state.cores
     }
 
-    /// Predicted latency relative to the baseline, with the cores that are in use. It is ahead of
-    /// the measured one by its lag.
+    /// Returns the ratio of predicted latency to baseline at the current CPU usage of all classes.
+    /// The measured latency follows it after the measurement lag.
     fn predicted_ratio(&self) -> f64 {
         let slowdown: f64 =
             self.classes.iter().map(|(class, state)| self.slowdown(class, state)).sum();
         1.0 + slowdown + self.scores.as_ref().map_or(0.0, Scores::mean_error)
     }
 
+    /// Returns the baseline in seconds, or a value derived from the target until it is known.
     fn reference_latency(&self) -> f64 {
         self.scores.as_ref().map_or(self.target.as_secs_f64() / HIGH_RATIO, Scores::baseline)
     }
 
+    /// Returns [`HIGH_RATIO`], raised for latencies so short that noise would exceed it.
     fn high_ratio(&self) -> f64 {
         HIGH_RATIO.max(1.0 + LATENCY_NOISE.as_secs_f64() / self.reference_latency())
     }
 
+    /// Returns [`SETPOINT_RATIO`], raised in proportion to [`Colocation::high_ratio`].
     fn setpoint_ratio(&self) -> f64 {
         SETPOINT_RATIO.max(
             1.0 + LATENCY_NOISE.as_secs_f64() / self.reference_latency() * (SETPOINT_RATIO - 1.0)
@@ -232,13 +240,13 @@
         )
     }
 
-    /// Takes the measurements of a second and returns what to do.
+    /// Processes the measurements of one control period and returns at most one decision.
     pub fn observe(&mut self, now: Time, sample: &Sample) -> Option<Decision> {
         let elapsed = now.saturating_sub(self.last_sample.unwrap_or(now)).as_secs_f64();
         self.last_sample = Some(now);
         self.update_classes(now, sample);
         if sample.latency.is_zero() {
-            // Without requests there is nothing to protect, and nothing to learn from.
+            // Without requests there is no latency to protect or to learn from.
             self.high_samples = 0;
             return self.restore(now, true);
         }
@@ -279,7 +287,8 @@
             self.classes.iter().map(|(class, state)| (class.clone(), state.cores)).collect();
         let idle = cores.values().all(|cores| *cores == 0.0);
         let (latency, reference_latency) = (self.latency, self.reference_latency());
-        // Beside batch work, as after a restart, a low latency does not show what the baseline is.
+        // With batch load present, as after a restart, the latency includes an unknown slowdown and
+        // is no baseline. Estimation waits until the latency exceeds the target.
         let within_target = latency <= self.target.as_secs_f64();
         let scores = match (&mut self.scores, idle) {
             (Some(scores), _) => scores,
@@ -310,8 +319,9 @@
         }
     }
 
-    /// Class to throttle next: the one that was just restored, or the one with the most harm per
-    /// core, which costs the least work. Urgent work comes last.
+    /// Returns the class to throttle next: a recently restored class, or else the class with the
+    /// highest score, because throttling it costs the least batch throughput. Urgent classes come
+    /// last.
     fn throttle_candidate(&self, now: Time) -> Option<String> {
         if let Some(class) = self.recently_restored(now) {
             return Some(class);
@@ -327,8 +337,8 @@
             .map(|(class, _)| class.clone())
     }
 
-    /// Undoing the last restore, and not throttling another class, keeps two classes from taking
-    /// turns.
+    /// Returns the class of the last restore if the high latency may follow from it. Throttling
+    /// another class instead would make the two classes alternate between throttle and restore.
     fn recently_restored(&self, now: Time) -> Option<String> {
         let class = self.last_restored.as_ref()?;
         let state = self.classes.get(class)?;
@@ -337,7 +347,7 @@
             .then(|| class.clone())
     }
 
-    /// Fully throttled class that slows the service most, with its slow-down.
+    /// Returns the class at minimum speed with the largest slowdown of the service, and the slowdown.
     fn eviction_candidate(&self) -> Option<(String, f64)> {
         self.classes
             .iter()
@@ -347,7 +357,7 @@
             .max_by(|(_, one), (_, other)| one.total_cmp(other))
     }
 
-    /// Speed at which the prediction is the aimed latency, in percent, rounded down.
+    /// Returns the speed of the class at which the predicted latency meets the setpoint, in percent.
     fn setpoint_speed(&self, class: &str, state: &ClassState) -> u8 {
         let full_slowdown = self.score(class) * state.full_speed_cores();
         if full_slowdown <= 0.0 {
@@ -365,7 +375,7 @@
         let speed_percent = self.setpoint_speed(&class, &state).min(max_speed).max(MIN_SPEED);
         let wait = state.restore_wait.max(first_wait);
         let restore_wait = match state.restored_at {
-            // The restore brought the interference back.
+            // The last restore caused the high latency: double the wait.
             Some(at) if now < at + RESTORE_WAIT_MAX && tasks_unchanged(at) => {
                 (wait * 2).min(RESTORE_WAIT_MAX)
             }
@@ -380,7 +390,7 @@
 
     fn evict(&mut self, now: Time, class: String) -> Decision {
         self.settled_at = now + self.lag * 2;
-        // Another eviction that turns out to be needed does not have to wait as long.
+        // If one eviction is not enough, the next one follows after half the slowdown.
         self.accumulated_slowdown = EVICTION_COST_S / 2.0;
         let state = self.classes.entry(class.clone()).or_default();
         state.block_time = (state.block_time * 2).clamp(BLOCK_MIN, BLOCK_MAX);
@@ -388,7 +398,8 @@
         Decision::Evict { class }
     }
 
-    /// Loosens one throttle after a quiet time, as far as the latency will stay in bounds.
+    /// Raises the speed of the throttled class with the lowest score once its wait has passed, as far
+    /// as the predicted latency stays within the setpoint, or fully if there are no requests.
     fn restore(&mut self, now: Time, no_requests: bool) -> Option<Decision> {
         if now < self.settled_at {
             return None;
@@ -396,11 +407,11 @@
         let speed = |class: &str, state: &ClassState| {
             let since = self.normal_since.max(state.restored_at.unwrap_or_default());
             let probe_wait = PROBE_WAIT.max(state.restore_wait * 2);
-            let step = state.speed.saturating_add(MIN_SPEED_STEP).min(100);
-            let min_speed = if now >= since + probe_wait { step } else { 0 };
-            let fitting_speed = if no_requests { 100 } else { self.setpoint_speed(class, state) };
+            let next_speed = state.speed.saturating_add(MIN_SPEED_STEP).min(100);
+            let min_speed = if now >= since + probe_wait { next_speed } else { 0 };
+            let allowed_speed = if no_requests { 100 } else { self.setpoint_speed(class, state) };
             let due = state.speed < 100 && state.tasks > 0 && now >= since + state.restore_wait;
-            Some(fitting_speed.max(min_speed)).filter(|speed| due && *speed >= step)
+            Some(allowed_speed.max(min_speed)).filter(|speed| due && *speed >= next_speed)
         };
         let (class, speed_percent) = self
             .classes
--- a/crates/core/src/colocation/calendar.rs
+++ b/crates/core/src/colocation/calendar.rs
@@ -1,15 +1,18 @@
-//! The closings that concern a VM.
+//! Capacity limits of a VM from the configuration and the closings in effect.
+//!
+//! A closing is a configured period, such as the end of a year, in which batch work on the VMs of
+//! some services is limited. Its lead time is the period before its start in which the VMs prepare.
 
 use std::time::{Duration, SystemTime};
 
 use crate::config::{Closing, Document};
 use crate::ledger::{ClosingLimit, Limits};
 
-/// Part of the lead time, before the start, in which running tasks are also reduced. Earlier only
-/// new starts are refused, so that most tasks end by themselves.
+/// Running tasks above the limit are removed only in the last `1 / ENFORCE_DIVISOR` of the lead
+/// time. Before that only new starts are refused, so that most tasks end by themselves.
 const ENFORCE_DIVISOR: u32 = 4;
 
-/// Returns the limits of a VM of `service` at `wall`.
+/// Returns the capacity limits of a VM that runs `service` at the wall-clock time `wall_time`.
 pub fn limits(document: &Document, service: &str, wall_time: SystemTime) -> Limits {
     let classes = document.classes.iter().map(|(name, class)| (name.clone(), class.limit));
     Limits {
@@ -24,7 +27,7 @@
     }
 }
 
-/// Returns the limit of a closing, or `None` outside it and its lead time.
+/// Returns the limit of a closing at `wall_time`, or `None` outside the closing and its lead time.
 fn closing_limit(closing: &Closing, wall_time: SystemTime) -> Option<ClosingLimit> {
     let start = humantime::parse_rfc3339(&closing.start).ok()?;
     let end = humantime::parse_rfc3339(&closing.end).ok()?;
@@ -38,7 +41,7 @@
     })
 }
 
-/// Combines closings whose lead times overlap.
+/// Combines two closings that overlap into the lower limit and the union of their classes.
 fn strictest(one: ClosingLimit, other: ClosingLimit) -> ClosingLimit {
     let classes = match (one.classes.is_empty(), other.classes.is_empty()) {
         (true, _) => other.classes,
--- a/crates/core/src/colocation/scores.rs
+++ b/crates/core/src/colocation/scores.rs
@@ -1,52 +1,61 @@
-//! Estimate of a service's latency without batch work, and of what one core of each class adds.
+//! Estimates a service's latency without batch load, and the latency added per core of each class.
 //!
-//! A Kalman filter over the baseline and one score per class. It learns from each sample, since
-//! the cores in use change with every start and end of a task.
+//! A Kalman filter tracks the baseline latency and one score per batch class: the slowdown of the
+//! service per core of the class, relative to the baseline. Each sample updates the estimates,
+//! because the cores in use change with every start and end of a task.
 
 use std::collections::BTreeMap;
 
-/// Standard deviation of a measurement, relative to the baseline.
+/// Standard deviation of a latency measurement, relative to the baseline.
 const MEASUREMENT_NOISE: f64 = 0.02;
-/// Drift of the baseline in a second, as a standard deviation.
+/// Process noise of the baseline: standard deviation of its relative drift per second.
 const BASELINE_DRIFT: f64 = 0.000_5;
-/// Drift of a class's whole slow-down in a second: a part of it, and a least amount that lets a
-/// score leave zero.
+/// Process noise of a score per second, as a fraction of the score.
 const SCORE_DRIFT: f64 = 0.01;
+/// Lower bound of the process noise of a class's slowdown per second. Lets a score leave zero.
 const MIN_SLOWDOWN_DRIFT: f64 = 0.000_5;
-/// Standard deviation of the slow-down by a class that was never observed.
+/// Initial standard deviation of the slowdown by a class, relative to the baseline.
 const UNSEEN_SLOWDOWN: f64 = 1.0;
-/// Standard deviation of the baseline when it is set without batch work, and beside batch work.
+/// Initial standard deviation of a baseline that was measured without batch load.
 const MEASURED_BASELINE: f64 = 0.02;
+/// Initial standard deviation of a baseline that was assumed while batch tasks were running.
 const ASSUMED_BASELINE: f64 = 0.2;
-/// Mean error of the predictions above which the load of the service is taken to have changed, and
-/// what the baseline and each slow-down may then change by in a second.
+/// Mean prediction error, relative to the baseline, above which the service's own load counts as
+/// changed if [`CHANGE_DEVIATIONS`] is exceeded as well.
 const CHANGE_ERROR: f64 = 0.04;
-/// The same in standard deviations. A class that was never seen gives large errors as well.
+/// Mean prediction error, in standard deviations, that marks a change of the service's load. The
+/// second bound keeps a new class, whose prediction errors are large, from counting as a change.
 const CHANGE_DEVIATIONS: f64 = 1.5;
+/// Process noise of the baseline per second after a change of the service's load.
 const BASELINE_CHANGE: f64 = 0.02;
+/// Process noise of a score per second after a change of the service's load, as a fraction.
 const SCORE_CHANGE: f64 = 0.1;
-/// Least cores of a class that a score is related to.
+/// Lower bound, in cores, of the usage that scales the initial deviation of a score.
 const MIN_CORES: f64 = 0.05;
 
-/// State of the filter, in parts of the first baseline.
+/// State of the filter. Latencies are in multiples of the initial baseline.
 #[derive(Debug, Clone)]
 pub struct Scores {
+    /// Latency in seconds that the filter started from.
     initial_baseline: f64,
-    /// Baseline, then the score of each class.
+    /// State vector: the baseline at index 0, then the score of each class.
     estimates: Vec<f64>,
     covariance: Vec<Vec<f64>>,
+    /// Index of each class in `estimates`.
     classes: BTreeMap<String, usize>,
-    /// Cores as the lagging latency shows them, and the largest of them so far.
+    /// Cores of each class, smoothed with the lag of the latency measurement; 1 for the baseline.
     lagged_cores: Vec<f64>,
+    /// Largest number of cores that each class has used.
     max_cores: Vec<f64>,
-    /// Mean error of the latest predictions.
+    /// Smoothed prediction error.
     mean_error: f64,
-    /// The same, in standard deviations of a prediction.
+    /// Smoothed prediction error in standard deviations of the prediction.
     normalised_error: f64,
 }
 
 impl Scores {
-    /// Starts from a baseline in seconds, measured without batch work or assumed.
+    /// Creates a filter with an initial baseline in seconds. `measured` tells whether the baseline
+    /// was measured without batch load or is assumed.
     pub fn new(baseline: f64, measured: bool) -> Scores {
         let deviation: f64 = if measured { MEASURED_BASELINE } else { ASSUMED_BASELINE };
         Scores {
@@ -61,22 +70,23 @@
         }
     }
 
-    /// Latency without batch work, in seconds.
+    /// Returns the estimated latency without batch load, in seconds.
     pub fn baseline(&self) -> f64 {
         self.estimates[0] * self.initial_baseline
     }
 
-    /// Slow-down by one core of a class, relative to the baseline.
+    /// Returns the slowdown by one core of a class, relative to the baseline.
     pub fn score(&self, class: &str) -> Option<f64> {
         self.classes.get(class).map(|index| self.estimates[*index] / self.estimates[0])
     }
 
-    /// Mean error of the latest predictions, relative to the baseline.
+    /// Returns the smoothed prediction error, relative to the baseline.
     pub fn mean_error(&self) -> f64 {
         self.mean_error / self.estimates[0]
     }
 
-    /// Learns from the latency measured `elapsed` seconds after the last one, beside these cores.
+    /// Updates the estimates with a latency in seconds, measured `elapsed` seconds after the previous
+    /// one while the classes used `cores`. `lag` is the measurement lag in seconds.
     pub fn learn(&mut self, elapsed: f64, lag: f64, latency: f64, cores: &BTreeMap<String, f64>) {
         self.update_cores(elapsed, lag, cores);
         self.add_process_noise(elapsed);
@@ -100,7 +110,7 @@
         self.update_covariance(&gains, &covariance_products);
     }
 
-    /// Lets the cores follow with the lag of the latency.
+    /// Smooths the cores of each class with the lag of the latency measurement, and adds new classes.
     fn update_cores(&mut self, elapsed: f64, lag: f64, cores: &BTreeMap<String, f64>) {
         for (class, cores) in cores.iter().filter(|(_, cores)| **cores > 0.0) {
             if !self.classes.contains_key(class) {
@@ -116,8 +126,8 @@
         self.bound_covariance();
     }
 
-    /// Reduces what is unknown of a score when its class grows: the bound is on the slow-down by
-    /// the whole class, and a first task may be small.
+    /// Bounds the variance of each score so that the deviation of the slowdown by the whole class is
+    /// at most [`UNSEEN_SLOWDOWN`]. Needed when a class grows after a small first task.
     fn bound_covariance(&mut self) {
         for index in 1..self.estimates.len() {
             let max_variance = (UNSEEN_SLOWDOWN / self.max_cores[index]).powi(2);
@@ -144,6 +154,7 @@
         self.covariance.push(row);
     }
 
+    /// Adds the process noise of `elapsed` seconds to the variances.
     fn add_process_noise(&mut self, elapsed: f64) {
         let changed =
             self.mean_error.abs() > CHANGE_ERROR && self.normalised_error.abs() > CHANGE_DEVIATIONS;
@@ -159,6 +170,7 @@
         }
     }
 
+    /// Returns the product of the covariance matrix and the smoothed cores.
     fn covariance_products(&self) -> Vec<f64> {
         let row =
             |row: &Vec<f64>| row.iter().zip(&self.lagged_cores).map(|(one, two)| one * two).sum();
--- a/crates/core/src/tasks/worker.rs
+++ b/crates/core/src/tasks/worker.rs
@@ -1,9 +1,10 @@
-//! Messages of the platform's worker API (HTTP with JSON).
+//! Messages of the platform's worker API, sent as JSON over HTTP.
 //!
-//! Leases are stated as times on the worker's own clock, which each list carries. A request that
-//! is delayed on its way, or by a pause of either side, can therefore never extend a lease. Only
-//! the last agent that claimed the worker can start tasks, so that a start that an agent sent just
-//! before it was killed cannot arrive after its successor has listed the tasks.
+//! The worker is the platform process that runs batch tasks on a VM. Leases end at times on the
+//! worker's own clock, which each task list contains. A request that is delayed in the network or by
+//! a paused process can therefore never extend a lease. Only the agent with the latest claim can
+//! start tasks. Otherwise a start that an agent sent just before it was killed could arrive after
+//! its successor has listed the tasks.
 
 use serde::{Deserialize, Serialize};
 
@@ -14,17 +15,17 @@
 /// Reply to `GET /v1/tasks`.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct WorkerList {
-    /// Changes when the worker restarts and its clock with it.
+    /// Instance of the worker process; changes when the worker, and with it its clock, restarts.
     pub instance: u64,
-    /// Worker's monotonic clock when the list was made.
+    /// Worker's monotonic clock at the time of the list, in milliseconds.
     pub now_ms: u64,
-    /// Number of the last claim.
+    /// Number of the latest claim.
     pub controller: u64,
     pub capacity: Resources,
     pub tasks: Vec<WorkerTask>,
 }
 
-/// One task that the worker runs, or whose result it keeps.
+/// Task that the worker runs, or whose result it keeps until its removal.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WorkerTask {
     pub attempt: AttemptId,
@@ -33,12 +34,13 @@
     pub need: Resources,
     pub urgent: bool,
     pub speed_percent: u8,
-    /// Last measured usage; zero while none is known.
+    /// Last measured usage; zero before the first measurement.
     pub usage: Resources,
+    /// End of the lease on the worker's clock.
     pub valid_until_ms: u64,
-    /// Checkpoint that the task was started from.
+    /// Checkpoint from which the task was started.
     pub checkpoint: Option<String>,
-    /// Set once the task has ended and holds no resources.
+    /// Set once the task has ended and released its resources.
     pub outcome: Option<WorkerOutcome>,
 }
 
@@ -53,7 +55,7 @@
     Stopped {
         checkpoint: Option<String>,
     },
-    /// The worker stopped the task because its lease ran out.
+    /// The worker stopped the task because its lease expired.
     Expired {
         checkpoint: Option<String>,
     },
@@ -62,7 +64,7 @@
 /// Body of `POST /v1/claim`.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRequest {
-    /// The claim to keep; refused if it is not the last one. `None` makes a new one.
+    /// Claim to confirm; refused unless it is the latest one. `None` requests a new claim.
     pub keep: Option<Claim>,
     /// Highest epoch of the cell that the agent has seen.
     pub epoch: Epoch,
@@ -72,19 +74,20 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimReply {
     pub claim: Claim,
-    /// Highest epoch that any claim of this instance named. Outlives the agent, so that a restarted
-    /// one obeys no owner that its predecessor had refused.
+    /// Highest epoch in any claim of this worker instance. The worker keeps it across restarts of
+    /// the agent, so that a restarted agent rejects a former owner just as its predecessor did.
     pub epoch: Epoch,
 }
 
-/// Right to start tasks. Each new claim gets a higher number.
+/// Exclusive right of an agent to start tasks on a worker. Acts as a fencing token: a new claim has
+/// a higher `controller` number, and the worker rejects starts with an older one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
     pub instance: u64,
     pub controller: u64,
 }
 
-/// Body of `POST /v1/tasks`. Repeating it for a task that exists has no effect.
+/// Body of `POST /v1/tasks`. Idempotent: has no effect if the task exists.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StartTask {
     pub claim: Claim,
@@ -106,14 +109,15 @@
     pub leases: Vec<TaskLease>,
 }
 
-/// New end of the lease on one task.
+/// New end of the lease on a task, on the worker's clock.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TaskLease {
     pub attempt: AttemptId,
     pub valid_until_ms: u64,
 }
 
-/// Body of `POST /v1/tasks/<id>/stop`. Also bars a later start of the same or an older token.
+/// Body of `POST /v1/tasks/<id>/stop`. The worker also rejects later starts with the same or an older
+/// token.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StopTask {
     pub attempt: AttemptId,
@@ -122,7 +126,7 @@
 /// Body of `POST /v1/tasks/<id>/checkpoint`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CheckpointTask {
-    /// Ends the task at the checkpoint.
+    /// Tells whether the task ends after the checkpoint.
     pub stop: bool,
 }
 
@@ -138,8 +142,8 @@
     pub speed_percent: u8,
 }
 
-/// Returns the name of an attempt in paths of the worker API. Different attempts have different
-/// names, whatever characters a job id contains.
+/// Returns the id of an attempt in paths of the worker API. Bytes of the job id other than letters,
+/// digits and `-` are escaped, so that different attempts have different ids.
 pub fn task_path_id(attempt: &AttemptId) -> String {
     let mut id = String::with_capacity(attempt.job.len() + 24);
     for byte in attempt.job.bytes() {
