--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -285,7 +285,7 @@
         self.queue.is_empty() && self.running.is_empty()
     }
 
-    /// Load of an upstream, as announced to entries for routing.
+    /// Returns the current load.
     pub fn load(&self, now: Time) -> Load {
         Load {
             slots: self.usable_slots(),
--- a/crates/core/src/tasks.rs
+++ b/crates/core/src/tasks.rs
@@ -1,10 +1,15 @@
-//! Attempts on one VM.
+//! State machine of the agent on one VM: the task attempts on its worker, their leases and results.
 //!
-//! The caller claims the worker when [`Tasks::claim_request`] says so, and hands the reply to
-//! [`Tasks::claimed`]. It performs the actions that [`Tasks::actions`] returns, asks
-//! [`Tasks::begin`] just before each effect, and hands back what came of it with
-//! [`Tasks::performed`]. It lists the worker's tasks with [`Tasks::listed`], and sends
-//! [`Tasks::report`] to the cell's owner, whose reply goes to [`Tasks::obey`].
+//! The owner of a cell schedules the tasks of its jobs on the agents' VMs. The worker is the platform
+//! process that runs tasks on a VM. An attempt is one execution of a task, identified by a fencing
+//! token that consists of the owner's epoch and a number. The module does no I/O; its caller:
+//!
+//! 1. claims the worker when [`Tasks::claim_request`] returns a request, and passes the reply to
+//!    [`Tasks::claimed`];
+//! 2. lists the worker's tasks and passes the list to [`Tasks::apply_list`];
+//! 3. performs the actions from [`Tasks::actions`], asks [`Tasks::begin`] just before each, and
+//!    passes each result to [`Tasks::record_result`];
+//! 4. sends [`Tasks::report`] to the cell's owner and passes the reply to [`Tasks::apply_orders`].
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -26,20 +31,21 @@
 mod orders;
 pub mod worker;
 
-/// Age of the worker's last list above which nothing is admitted.
+/// Age of the worker's last task list above which no start is admitted.
 const MAX_LIST_AGE: Duration = Duration::from_secs(5);
-/// Time for which tokens and usage of ended tasks are remembered.
+/// Time for which the token and usage of a task are kept after its last attempt ended.
 const HISTORY_RETENTION: Duration = Duration::from_secs(15 * 60);
-/// Time after which an unconfirmed stop is repeated.
+/// Interval at which a stop or checkpoint is repeated until the attempt has ended.
 const STOP_RETRY_INTERVAL: Duration = Duration::from_secs(1);
-/// Results, and bytes of their checkpoints, in one report. The rest follows in later reports.
+/// Maximum results in one report. The rest follows in later reports.
 const MAX_RESULTS: usize = 512;
+/// Maximum total size of the checkpoints and reasons in the results of one report, in bytes.
 const MAX_RESULT_BYTES: usize = 512 * 1024;
 
-/// A task, whichever attempt runs it.
+/// Identifies a task independently of its attempts.
 pub type TaskKey = (JobId, TaskIndex);
 
-/// Who reports.
+/// Identity of the agent in its reports.
 #[derive(Debug, Clone)]
 pub struct Identity {
     pub agent: AgentId,
@@ -48,37 +54,38 @@
     pub rack: String,
 }
 
-/// An effect on the worker.
+/// Request to the worker that the caller has to send.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     Start(StartTask),
     Renew {
         instance: u64,
         leases: Vec<TaskLease>,
-        /// Ends of the leases on the agent's clock.
+        /// Ends of the leases on the agent's clock, in the order of `leases`.
         until: Vec<Time>,
     },
-    /// Takes a checkpoint and ends the task there.
+    /// Takes a checkpoint and ends the task at it.
     Checkpoint(AttemptId),
     Stop(AttemptId),
+    /// Sets the CPU speed of a task, in percent.
     Throttle(AttemptId, u8),
-    /// Removes an acknowledged result.
+    /// Deletes a result that the owner has acknowledged.
     Remove(AttemptId),
 }
 
-/// What came of an action.
+/// Result of an action on the worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ActionResult {
     Done,
-    /// The worker refused it; it had no effect.
+    /// The worker refused the request; it had no effect.
     Refused(String),
-    /// It certainly did not reach the worker.
+    /// The request was not sent, so it had no effect.
     NotSent,
-    /// It may or may not have had an effect, now or later.
+    /// The request may have had an effect, or may still have one later.
     Unknown,
 }
 
-/// A transition, for the log.
+/// State transition to be logged.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
     pub name: &'static str,
@@ -86,53 +93,67 @@
     pub detail: String,
 }
 
+/// Reason for stopping an attempt. Decides whether its result is a stop or an eviction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum StopCause {
-    /// The owner ordered it, or a newer attempt waits.
+    /// The owner ordered the stop, or a newer attempt supersedes this one.
     Ordered,
-    /// The agent decided it.
+    /// The agent decided to stop the attempt.
     Evicted,
 }
 
+/// Phase of an attempt on the worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
-    /// Admitted; `sent` once a start may have reached the worker.
+    /// Admitted, but not confirmed by the worker.
     Starting {
+        /// Set before the start is first sent to the worker.
         sent: bool,
     },
     Running,
     Stopping {
         cause: StopCause,
+        /// Take a checkpoint before the attempt ends.
         checkpoint: bool,
-        /// Last try, and whether the worker accepted a stop.
+        /// Time at which a stop or checkpoint was last sent.
         tried_at: Option<Time>,
+        /// Time at which the worker first accepted a stop.
         accepted_at: Option<Time>,
     },
 }
 
+/// State of an attempt that has not ended.
 #[derive(Debug, Clone)]
 struct Attempt {
+    /// Start order of the owner; `None` for an attempt adopted from the worker's list.
     order: Option<StartOrder>,
     class: String,
     phase: Phase,
+    /// End of the lease that the owner has granted.
     lease_until: Time,
-    /// End of the lease that the worker has confirmed.
+    /// End of the lease in the last renewal that the worker confirmed.
     renewed_until: Time,
-    /// Set once the worker has confirmed that the task exists.
+    /// Time at which the worker first confirmed that the task exists.
     confirmed_at: Option<Time>,
-    /// An earlier start may still reach the worker.
+    /// The result of a start request is unknown, so the request may still reach the worker.
     start_unconfirmed: bool,
+    /// Latest checkpoint: the one the attempt started from, or a later one.
     checkpoint: Option<Bytes>,
+    /// Last measured usage; zero before the first measurement.
     measured: Resources,
+    /// CPU speed that is in effect on the worker, in percent.
     worker_speed: u8,
 }
 
+/// Start order that waits until an older attempt of the same task has ended.
 #[derive(Debug, Clone)]
 struct WaitingStart {
     order: StartOrder,
     lease_until: Time,
 }
 
+/// Highest token and last usage of a task. Rejects duplicate and old starts, and gives a later
+/// attempt the measured usage.
 #[derive(Debug, Clone)]
 struct TaskHistory {
     token: Token,
@@ -140,23 +161,27 @@
     updated_at: Time,
 }
 
-/// The report whose reply is awaited.
+/// Report that the owner has not answered yet.
 #[derive(Debug, Clone)]
 struct PendingReport {
     sequence: u64,
     sent_at: Time,
+    /// Attempts in the report, whose leases the reply extends.
     attempts: BTreeSet<AttemptId>,
 }
 
+/// Reading of the worker's clock in its last task list.
 #[derive(Debug, Clone, Copy)]
 struct WorkerClock {
     instance: u64,
     now_ms: u64,
+    /// Time on the agent's clock at which the list arrived.
     received_at: Time,
 }
 
 impl WorkerClock {
-    /// Translates a time to the worker's clock, never to a later moment.
+    /// Converts a time of the agent's clock to milliseconds of the worker's clock. The result is never
+    /// later than the given time.
     fn to_worker_ms(&self, at: Time) -> u64 {
         let ahead = at.saturating_sub(self.received_at).as_millis() as u64;
         let behind = self.received_at.saturating_sub(at).as_millis() as u64;
@@ -164,40 +189,46 @@
     }
 }
 
-/// All attempts on one VM.
+/// State of all attempts on one VM.
 #[derive(Debug)]
 pub struct Tasks {
     identity: Identity,
     ledger: Ledger,
-    /// Highest epoch of the cell that was seen.
+    /// Highest epoch of the cell in orders, claim replies and task tokens. Owners with a lower epoch
+    /// are rejected.
     epoch: Epoch,
-    /// Epoch that the worker keeps for a successor of this process. Grants of a higher one are not
-    /// obeyed yet.
+    /// Epoch that the worker stores for the next process of this agent. Starts and leases of a higher
+    /// epoch are not accepted until the worker stores it.
     worker_epoch: Epoch,
+    /// Number of the last report.
     sequence: u64,
-    /// Last challenge of an owner.
+    /// Last challenge of an owner. The next report echoes it to prove that it is recent.
     challenge: u64,
     pending_report: Option<PendingReport>,
     claim: Option<Claim>,
+    /// `None` until the worker's tasks have been listed.
     clock: Option<WorkerClock>,
     attempts: BTreeMap<AttemptId, Attempt>,
-    /// Newer attempts that wait until an older one is gone.
+    /// Start orders that wait until an older attempt of their task has ended.
     waiting: BTreeMap<TaskKey, WaitingStart>,
+    /// Results that the owner has not acknowledged.
     results: BTreeMap<AttemptId, Outcome>,
-    /// Committed by the owner, but still kept by the worker.
+    /// Attempts whose result the owner has committed but the worker may still keep.
     acknowledged: BTreeSet<AttemptId>,
+    /// Acknowledged attempts whose result the worker keeps according to its last list.
     removable: BTreeSet<AttemptId>,
     history: BTreeMap<TaskKey, TaskHistory>,
-    /// Speed and admission of classes, as decided by colocation.
+    /// CPU speed of each throttled class in percent, set by the colocation controller.
     class_speeds: BTreeMap<String, u8>,
+    /// Classes that the colocation controller does not admit.
     blocked_classes: BTreeSet<String>,
     draining: bool,
     events: Vec<Event>,
 }
 
 impl Tasks {
-    /// Builds the state of an agent that knows nothing of its worker yet. `lag` is the lag of
-    /// usage measurements.
+    /// Creates the state of an agent that has not listed its worker's tasks. `lag` is the delay with
+    /// which measurements show a change of usage.
     pub fn new(identity: Identity, lag: Duration) -> Self {
         Tasks {
             identity,
@@ -222,18 +253,18 @@
         }
     }
 
-    /// Highest epoch of the cell that was seen.
+    /// Returns the highest known epoch of the cell.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
 
-    /// The capacity ledger.
+    /// Returns the ledger of the VM's reserved capacity.
     pub fn ledger(&self) -> &Ledger {
         &self.ledger
     }
 
-    /// Returns the claim to make before the worker's tasks are listed: when there is none, and when
-    /// the worker does not keep the epoch that was seen.
+    /// Returns the claim request that has to precede the next list: while there is no claim, or while
+    /// the worker stores a lower epoch than the highest known one.
     pub fn claim_request(&self) -> Option<ClaimRequest> {
         let due = self.claim.is_none() || self.worker_epoch < self.epoch;
         due.then_some(ClaimRequest { keep: self.claim, epoch: self.epoch })
@@ -246,13 +277,14 @@
         self.epoch = self.epoch.max(claimed.epoch);
     }
 
-    /// Records that the worker refused to keep the claim: another agent or instance has it.
+    /// Records that the worker refused to confirm the claim, because another agent has claimed the
+    /// worker or the worker has restarted.
     pub fn claim_refused(&mut self) {
         self.event("claim_lost", None, "refused".into());
         self.claim = None;
     }
 
-    /// Tells whether the worker's tasks are known, so that reports and starts are allowed.
+    /// Tells whether the worker's tasks have been listed. Reports and starts are allowed only then.
     pub fn is_adopted(&self) -> bool {
         self.clock.is_some()
     }
@@ -262,17 +294,17 @@
         self.attempts.is_empty() && self.waiting.is_empty() && self.results.is_empty()
     }
 
-    /// Number of attempts that run or are being started or stopped.
+    /// Returns the number of attempts that are starting, running or stopping.
     pub fn attempt_count(&self) -> usize {
         self.attempts.len()
     }
 
-    /// Number of results that are not acknowledged yet.
+    /// Returns the number of results that the owner has not acknowledged.
     pub fn result_count(&self) -> usize {
         self.results.len()
     }
 
-    /// Running attempts with class, urgency and measured usage.
+    /// Returns the running attempts with their class and measured usage.
     pub fn running(&self) -> impl Iterator<Item = (&AttemptId, &str, &Resources)> {
         self.attempts
             .iter()
@@ -280,23 +312,23 @@
             .map(|(id, attempt)| (id, attempt.class.as_str(), &attempt.measured))
     }
 
-    /// Takes the transitions since the last call.
+    /// Returns and clears the transitions since the last call.
     pub fn take_events(&mut self) -> Vec<Event> {
         std::mem::take(&mut self.events)
     }
 
-    /// Sets the limits in effect.
+    /// Sets the capacity limits in effect.
     pub fn set_limits(&mut self, limits: Limits) {
         self.ledger.set_limits(limits);
     }
 
-    /// Sets the speed of classes (100 if absent) and the classes that are not admitted.
+    /// Sets the CPU speeds of classes in percent (100 if absent) and the classes not to admit.
     pub fn set_colocation(&mut self, speeds: BTreeMap<String, u8>, blocked: BTreeSet<String>) {
         self.class_speeds = speeds;
         self.blocked_classes = blocked;
     }
 
-    /// Evicts the newest running task of a class; tells whether there was one.
+    /// Evicts the running task of a class that started last; tells whether there was one.
     pub fn evict_newest(&mut self, class: &str) -> bool {
         let newest = self
             .attempts
@@ -313,14 +345,14 @@
         }
     }
 
-    /// Refuses new starts and hands all attempts back with a checkpoint.
+    /// Starts draining: refuses new starts and evicts all attempts with a checkpoint.
     pub fn drain(&mut self) {
         if !self.draining {
             self.draining = true;
             self.event("drain_started", None, format!("attempts={}", self.attempts.len()));
         }
         for (_, waiting) in std::mem::take(&mut self.waiting) {
-            self.refuse(waiting.order.attempt, "the agent is leaving".into());
+            self.refuse(waiting.order.attempt, "the agent is draining".into());
         }
         let ids: Vec<AttemptId> = self.attempts.keys().cloned().collect();
         for id in ids {
@@ -328,9 +360,9 @@
         }
     }
 
-    /// Builds the next report, to be sent at once; the lease in its reply counts from `now`.
-    /// `None` while the worker's tasks are not known: a report without them would tell the owner
-    /// that they are gone.
+    /// Returns the next report, which has to be sent at once: the lease in its reply starts at `now`.
+    /// Returns `None` until the worker's tasks are listed, because the owner would conclude from a
+    /// report without them that they have ended.
     pub fn report(&mut self, now: Time, pressure_percent: u32) -> Option<Report> {
         self.clock?;
         self.sequence += 1;
@@ -338,7 +370,8 @@
         let mut running: Vec<RunningTask> =
             self.attempts.iter().map(|(id, attempt)| self.running_task(id, attempt)).collect();
         let waiting = self.waiting.values().map(|waiting| &waiting.order.attempt);
-        // A result that does not fit yet is reported as running, so that it is not taken as lost.
+        // An attempt whose result does not fit is reported as running. The owner would consider an
+        // attempt that is missing from the report as lost.
         running.extend(waiting.chain(&delayed).map(|id| RunningTask {
             attempt: id.clone(),
             measured: Resources::default(),
@@ -357,7 +390,8 @@
             rack: self.identity.rack.clone(),
             sequence: self.sequence,
             state: if self.draining { AgentState::Leaving } else { AgentState::Ready },
-            // The owner takes this as a promise that also outlives this process.
+            // The owner relies on this epoch even after a restart of the agent, so it is the one
+            // that the worker stores.
             epoch: self.worker_epoch,
             batch_capacity: self.ledger.batch_capacity(),
             free: self.ledger.free(),
@@ -376,6 +410,7 @@
         }
     }
 
+    /// Returns the results that fit into one report, and the attempts whose results have to wait.
     fn reported_results(&self) -> (Vec<TaskResult>, Vec<AttemptId>) {
         let mut bytes = 0;
         let mut results = Vec::new();
@@ -395,12 +430,14 @@
         self.events.push(Event { name, attempt: attempt.cloned(), detail });
     }
 
+    /// Records that a start order was refused.
     fn refuse(&mut self, id: AttemptId, reason: String) {
         self.event("start_refused", Some(&id), reason.clone());
         self.results.entry(id).or_insert(Outcome::Refused { reason });
     }
 
-    /// Ends an attempt that certainly does not run and will not run.
+    /// Records the outcome of an attempt that is known neither to run nor to start later, and releases
+    /// its reservation.
     fn finish(&mut self, now: Time, id: &AttemptId, outcome: Outcome) {
         self.ledger.release(id);
         if let Some(attempt) = self.attempts.remove(id) {
@@ -412,6 +449,7 @@
         }
     }
 
+    /// Updates the highest token and, unless zero, the usage of a task.
     fn record_history(&mut self, now: Time, id: &AttemptId, measured: Resources) {
         let new_history =
             TaskHistory { token: id.token, measured: Resources::default(), updated_at: now };
@@ -423,7 +461,7 @@
         }
     }
 
-    /// Begins to stop an attempt; a start that was not sent yet ends at once.
+    /// Starts to stop an attempt. An attempt whose start was never sent ends immediately.
     fn stop_attempt(&mut self, id: &AttemptId, cause: StopCause, checkpoint: bool, reason: &str) {
         let Some(attempt) = self.attempts.get_mut(id) else { return };
         match &mut attempt.phase {
@@ -446,7 +484,7 @@
         }
     }
 
-    /// Attempts of the same task with an older token.
+    /// Returns the attempts of the same task with an older token.
     fn older_attempts(&self, id: &AttemptId) -> Vec<AttemptId> {
         let first = AttemptId { job: id.job.clone(), task: id.task, token: Token::default() };
         self.attempts.range(first..id.clone()).map(|(older, _)| older.clone()).collect()
@@ -463,6 +501,7 @@
     }
 }
 
+/// Returns the size of the checkpoint or reason in an outcome, in bytes.
 fn outcome_bytes(outcome: &Outcome) -> usize {
     match outcome {
         Outcome::Evicted { checkpoint } | Outcome::Stopped { checkpoint } => {
--- a/crates/core/src/tasks/actions.rs
+++ b/crates/core/src/tasks/actions.rs
@@ -1,4 +1,4 @@
-//! Effects on the worker.
+//! Actions on the worker, and the processing of their results.
 
 use bytes::Bytes;
 
@@ -12,7 +12,7 @@
 };
 
 impl Tasks {
-    /// Returns the effects that are due. Those that fail are returned again by later calls.
+    /// Returns the actions that are due. A later call returns an action again if it failed.
     pub fn actions(&mut self, now: Time) -> Vec<Action> {
         let Some(clock) = self.clock else { return Vec::new() };
         self.admit_waiting(now);
@@ -20,7 +20,7 @@
         for relief in self.ledger.relieve(now) {
             self.apply_relief(relief);
         }
-        // Leases first: a slow worker must not let them end.
+        // Renewals come first, so that leases do not expire while a slow worker handles the rest.
         let mut actions: Vec<Action> = self.renew_action(now, &clock).into_iter().collect();
         for (id, attempt) in &self.attempts {
             actions.extend(self.stop_action(now, id, attempt));
@@ -35,9 +35,9 @@
         actions
     }
 
-    /// Tells whether an action may still be performed, and records that it is about to be.
-    /// Called just before the effect, because the process may have been paused since the
-    /// decision.
+    /// Tells whether an action is still allowed, and if so records that it is about to be sent.
+    /// Has to be called just before the request, because a lease may have expired while the process
+    /// was paused.
     pub fn begin(&mut self, now: Time, action: &Action) -> bool {
         match action {
             Action::Start(start) => match self.attempts.get_mut(&start.attempt) {
@@ -67,7 +67,8 @@
         }
     }
 
-    /// Takes the result of an action. A checkpoint is given with [`Tasks::checkpointed`].
+    /// Records the result of an action. A checkpoint that was taken is recorded with
+    /// [`Tasks::record_checkpoint`].
     pub fn record_result(&mut self, now: Time, action: &Action, effect: ActionResult) {
         match (action, effect) {
             (Action::Start(start), ActionResult::Done) => self.mark_running(now, &start.attempt),
@@ -83,7 +84,8 @@
                 self.record_renewal(leases, until)
             }
             (Action::Stop(id), ActionResult::Done) => self.record_stop(now, id),
-            // Without a checkpoint the task is stopped plainly, which also bars a late start.
+            // Stops the task without a checkpoint. The stop also makes the worker reject a start that
+            // arrives late.
             (Action::Checkpoint(id), ActionResult::Refused(_)) => self.skip_checkpoint(id),
             (Action::Throttle(id, percent), ActionResult::Done) => {
                 if let Some(attempt) = self.attempts.get_mut(id) {
@@ -98,7 +100,7 @@
         }
     }
 
-    /// Records the checkpoint at which the worker ends a task.
+    /// Records the checkpoint that the worker took to end a task.
     pub fn record_checkpoint(&mut self, id: &AttemptId, checkpoint: Bytes) {
         if let Some(attempt) = self.attempts.get_mut(id) {
             attempt.checkpoint = Some(checkpoint);
@@ -116,12 +118,13 @@
 
     fn refuse_start(&mut self, now: Time, id: &AttemptId, reason: String) {
         let Some(attempt) = self.attempts.get(id) else { return };
-        // An earlier try may have started it, and the task may have ended since.
+        // An earlier request may have started the task, which may have ended since.
         if attempt.confirmed_at.is_some() {
             return;
         }
-        // An earlier try may still arrive: its lease can end later on the worker's clock, because
-        // each list gives another lower bound of that clock. Only a stop bars it.
+        // An earlier start request may still arrive, and its lease may end later on the worker's clock,
+        // because each list yields a different lower bound of that clock. Only a stop makes the
+        // worker reject that request.
         if attempt.start_unconfirmed {
             return self.stop_attempt(id, StopCause::Ordered, false, &reason);
         }
@@ -133,6 +136,7 @@
         self.finish(now, id, outcome);
     }
 
+    /// Records the lease ends of a renewal that the worker confirmed.
     fn record_renewal(&mut self, leases: &[TaskLease], until: &[Time]) {
         for (lease, until) in leases.iter().zip(until) {
             if let Some(attempt) = self.attempts.get_mut(&lease.attempt) {
@@ -148,6 +152,7 @@
         }
     }
 
+    /// Continues a stop without the checkpoint that the worker refused to take.
     fn skip_checkpoint(&mut self, id: &AttemptId) {
         let phase = self.attempts.get_mut(id).map(|attempt| &mut attempt.phase);
         if let Some(Phase::Stopping { checkpoint, tried_at, .. }) = phase {
@@ -156,8 +161,8 @@
         }
     }
 
-    /// Ends starts whose lease ran out before they were sent, and stops what the worker should
-    /// have stopped by itself.
+    /// Refuses starts whose lease expired before they were sent, and evicts running attempts whose lease
+    /// has expired. The worker should have stopped those already.
     fn expire_leases(&mut self, now: Time) {
         let expired: Vec<(AttemptId, Phase)> = self
             .attempts
@@ -168,10 +173,10 @@
         for (id, phase) in expired {
             match phase {
                 Phase::Starting { sent: false } => {
-                    let reason = "the lease ended before the start".to_owned();
+                    let reason = "the lease expired before the start".to_owned();
                     self.finish(now, &id, Outcome::Refused { reason });
                 }
-                Phase::Running => self.stop_attempt(&id, StopCause::Evicted, true, "lease ended"),
+                Phase::Running => self.stop_attempt(&id, StopCause::Evicted, true, "lease expired"),
                 _ => {}
             }
         }
@@ -187,6 +192,7 @@
         }
     }
 
+    /// Returns the CPU speed that an attempt should have, in percent.
     fn speed(&self, id: &AttemptId, attempt: &Attempt) -> u8 {
         let class = self.class_speeds.get(&attempt.class).copied().unwrap_or(100);
         class.min(self.ledger.speed(id))
--- a/crates/core/src/tasks/listing.rs
+++ b/crates/core/src/tasks/listing.rs
@@ -1,4 +1,4 @@
-//! Comparison of the attempts with what the worker lists.
+//! Reconciliation of the attempts with the worker's task list.
 
 use std::collections::BTreeSet;
 
@@ -13,11 +13,12 @@
 use super::{Attempt, Phase, StopCause, Tasks, WorkerClock, HISTORY_RETENTION};
 
 impl Tasks {
-    /// Takes a list of the worker that was asked for at `asked_at` and arrived at `now`. Ignores it
-    /// before a claim: a predecessor's start could still arrive after it.
+    /// Reconciles the attempts with a task list that was requested at `asked_at` and arrived at `now`.
+    /// Ignores a list without a valid claim, because a start that a previous agent process sent could
+    /// still arrive after it.
     pub fn apply_list(&mut self, asked_at: Time, now: Time, list: &WorkerList) {
         let Some(claim) = self.claim else {
-            return self.event("list_ignored", None, "the worker is not claimed".into());
+            return self.event("list_ignored", None, "the agent has not claimed the worker".into());
         };
         if (claim.instance, claim.controller) != (list.instance, list.controller) {
             self.event("claim_lost", None, format!("controller={}", list.controller));
@@ -86,11 +87,11 @@
         }
     }
 
-    /// Takes over a task that this process did not start.
+    /// Adopts a running task that this agent process did not start.
     fn adopt(&mut self, asked_at: Time, now: Time, worker_ms: u64, task: &WorkerTask) {
         let id = &task.attempt;
         let left = task.valid_until_ms.saturating_sub(worker_ms);
-        // The worker read its clock after `asked_at`, so this is not later than the lease's end.
+        // The worker read its clock after `asked_at`, so this is not later than its end of the lease.
         let lease_until = asked_at + Time::from_millis(left);
         let reservation = Held {
             class: task.class.clone(),
@@ -117,11 +118,11 @@
             self.stop_attempt(id, StopCause::Evicted, true, "drain");
         }
         if self.results.contains_key(id) || self.acknowledged.contains(id) {
-            self.stop_attempt(id, StopCause::Ordered, false, "reported as ended");
+            self.stop_attempt(id, StopCause::Ordered, false, "result already reported");
         }
     }
 
-    /// Ends attempts that the worker certainly does not have and will not get.
+    /// Ends attempts that are missing from the list and can no longer reach the worker.
     fn end_absent(
         &mut self,
         asked_at: Time,
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Stops all but the newest of several attempts at one task.
+    /// Stops all but the newest attempt of each task.
     fn stop_superseded(&mut self) {
         let ids: Vec<AttemptId> = self.attempts.keys().cloned().collect();
         for pair in ids.windows(2) {
@@ -152,6 +153,7 @@
         }
     }
 
+    /// Drops the history of tasks that are no longer in use and past the retention time.
     fn prune_history(&mut self, now: Time) {
         let in_use: BTreeSet<_> = self
             .attempts
@@ -167,7 +169,8 @@
     }
 }
 
-/// Returns how an attempt ended that a list does not contain, or `None` if it may still exist.
+/// Returns the outcome of an attempt that is missing from a list requested at `asked_at`, or `None`
+/// if the attempt may still run or start.
 fn absent_outcome(asked_at: Time, restarted: bool, attempt: &Attempt) -> Option<Outcome> {
     let checkpoint = attempt.checkpoint.clone();
     let lost = attempt.confirmed_at.is_some_and(|at| at <= asked_at);
@@ -181,16 +184,17 @@
             gone.then_some(Outcome::Evicted { checkpoint })
         }
         Phase::Running => (lost || restarted).then_some(Outcome::Evicted { checkpoint }),
-        // The worker refuses a start that arrives after the end of its lease.
+        // The worker refuses a start request that arrives after the end of its lease.
         Phase::Starting { sent: true } if asked_at > attempt.lease_until => {
             Some(Outcome::Refused { reason: "the worker did not confirm the start".into() })
         }
-        // A start carries the worker's instance; the new instance refuses it.
+        // A start request names the worker's instance, and the restarted worker has a new one.
         Phase::Starting { sent: true } if restarted => Some(Outcome::Evicted { checkpoint }),
         Phase::Starting { .. } => None,
     }
 }
 
+/// Converts the worker's outcome of a known attempt to the outcome reported to the owner.
 fn convert_outcome(outcome: &WorkerOutcome, attempt: &Attempt) -> Outcome {
     let ordered = matches!(attempt.phase, Phase::Stopping { cause: StopCause::Ordered, .. });
     match outcome {
@@ -206,6 +210,7 @@
     }
 }
 
+/// Converts the worker's outcome of an attempt that this agent process did not start.
 fn convert_adopted(outcome: &WorkerOutcome) -> Outcome {
     match outcome {
         WorkerOutcome::Completed => Outcome::Completed,
--- a/crates/core/src/tasks/orders.rs
+++ b/crates/core/src/tasks/orders.rs
@@ -1,4 +1,4 @@
-//! Orders of the cell's owner.
+//! Processing of the orders that the cell's owner returns in its reply to a report.
 
 use crate::ledger::Held;
 use crate::message::report::{AttemptId, Orders, Outcome, StartOrder, StopOrder};
@@ -8,8 +8,8 @@
 use super::{Attempt, Phase, StopCause, Tasks, WaitingStart, MAX_LIST_AGE};
 
 impl Tasks {
-    /// Obeys the reply to the last report. Each report is answered once: duplicates, replies to
-    /// earlier reports and replies of an old epoch have no effect.
+    /// Applies the owner's reply to the last report. Each report accepts one reply: duplicates, replies
+    /// to earlier reports and replies with an old epoch are ignored.
     pub fn apply_orders(&mut self, now: Time, orders: Orders) {
         if orders.epoch < self.epoch {
             let detail = format!("epoch={} seen={}", orders.epoch, self.epoch);
@@ -38,7 +38,8 @@
             self.apply_stop(now, stop);
         }
         let lease_until = pending.sent_at + orders.lease;
-        // A successor of this process would obey an earlier owner if the epoch were not kept first.
+        // The worker has to store the new epoch first. Otherwise the agent could accept orders of the
+        // former owner after a restart.
         if lease_until <= now || self.worker_epoch < self.epoch {
             return;
         }
@@ -52,7 +53,7 @@
 
     fn acknowledge(&mut self, id: &AttemptId) {
         if self.results.remove(id).is_some() {
-            // Kept until a later list shows that the worker has no result of it.
+            // Kept until a list shows that the worker no longer keeps the result.
             self.acknowledged.insert(id.clone());
         }
     }
@@ -87,28 +88,30 @@
     fn apply_start(&mut self, now: Time, order: StartOrder, lease_until: Time) {
         let id = order.attempt.clone();
         let key = (id.job.clone(), id.task);
-        let known = self.history.get(&key).map(|history| history.token);
+        let latest_token = self.history.get(&key).map(|history| history.token);
         let exists = self.attempts.contains_key(&id)
             || self.results.contains_key(&id)
             || self.acknowledged.contains(&id);
-        match known {
+        match latest_token {
             _ if exists => return self.event("duplicate_start_ignored", Some(&id), String::new()),
             Some(token) if token == id.token => {
                 return self.event("duplicate_start_ignored", Some(&id), String::new());
             }
             Some(token) if token > id.token => {
-                let reason =
-                    format!("token is older than epoch={} number={}", token.epoch, token.number);
+                let reason = format!(
+                    "token is older than the latest: epoch={} number={}",
+                    token.epoch, token.number
+                );
                 return self.refuse(id, reason);
             }
             _ => {}
         }
         self.record_history(now, &id, Resources::default());
         if self.draining {
-            return self.refuse(id, "the agent is leaving".into());
+            return self.refuse(id, "the agent is draining".into());
         }
         for older in self.older_attempts(&id) {
-            self.stop_attempt(&older, StopCause::Ordered, false, "a newer attempt waits");
+            self.stop_attempt(&older, StopCause::Ordered, false, "superseded by a newer attempt");
         }
         match self.older_attempts(&id).is_empty() {
             true => self.admit(now, order, lease_until),
@@ -116,18 +119,18 @@
                 self.event("start_waiting", Some(&id), String::new());
                 let replaced = self.waiting.insert(key, WaitingStart { order, lease_until });
                 if let Some(replaced) = replaced {
-                    self.refuse(replaced.order.attempt, "a newer attempt replaced it".into());
+                    self.refuse(replaced.order.attempt, "replaced by a newer attempt".into());
                 }
             }
         }
     }
 
-    /// Admits what waited for an older attempt that is now gone.
+    /// Admits waiting starts whose older attempts have ended; refuses those whose lease has expired.
     pub(super) fn admit_waiting(&mut self, now: Time) {
         for (key, waiting) in std::mem::take(&mut self.waiting) {
             let id = &waiting.order.attempt;
             match (waiting.lease_until > now, self.older_attempts(id).is_empty()) {
-                (false, _) => self.refuse(id.clone(), "the lease ended before the start".into()),
+                (false, _) => self.refuse(id.clone(), "the lease expired before the start".into()),
                 (true, true) => self.admit(now, waiting.order, waiting.lease_until),
                 (true, false) => {
                     self.waiting.insert(key, waiting);
@@ -143,10 +146,10 @@
             return self.refuse(id, "the worker does not respond".into());
         }
         if self.blocked_classes.contains(&order.class) {
-            return self.refuse(id, "class slows the VM's service".into());
+            return self.refuse(id, "the class slows the VM's service too much".into());
         }
         let key = (id.job.clone(), id.task);
-        // Usage of an earlier attempt corrects a wrong declaration.
+        // The measured usage of an earlier attempt corrects a declared need that is too low.
         let measured = self.history.get(&key).map(|history| history.measured).unwrap_or_default();
         let reservation =
             Held { class: order.class.clone(), need: order.need, urgent: order.urgent, measured };
