--- a/crates/core/src/colocation.rs
+++ b/crates/core/src/colocation.rs
@@ -288,7 +288,7 @@
         let idle = cores.values().all(|cores| *cores == 0.0);
         let (latency, reference_latency) = (self.latency, self.reference_latency());
         // With batch load present, as after a restart, the latency includes an unknown slowdown and
-        // is no baseline. Estimation waits until the latency exceeds the target.
+        // is no baseline. Estimation waits until the latency exceeds the target or the load ends.
         let within_target = latency <= self.target.as_secs_f64();
         let scores = match (&mut self.scores, idle) {
             (Some(scores), _) => scores,
--- a/crates/core/src/tasks.rs
+++ b/crates/core/src/tasks.rs
@@ -182,7 +182,7 @@
 impl WorkerClock {
     /// Converts a time of the agent's clock to milliseconds of the worker's clock. The result is never
     /// later than the given time.
-    fn to_worker_ms(&self, at: Time) -> u64 {
+    fn worker_ms_at(&self, at: Time) -> u64 {
         let ahead = at.saturating_sub(self.received_at).as_millis() as u64;
         let behind = self.received_at.saturating_sub(at).as_millis() as u64;
         (self.now_ms + ahead).saturating_sub(behind)
@@ -328,7 +328,7 @@
         self.blocked_classes = blocked;
     }
 
-    /// Evicts the running task of a class that started last; tells whether there was one.
+    /// Evicts the most recently started running task of a class; tells whether there was one.
     pub fn evict_newest(&mut self, class: &str) -> bool {
         let newest = self
             .attempts
--- a/crates/core/src/tasks/actions.rs
+++ b/crates/core/src/tasks/actions.rs
@@ -216,7 +216,7 @@
         let due = self.attempts.iter().filter(|(_, attempt)| due(attempt));
         let (leases, until): (Vec<TaskLease>, Vec<Time>) = due
             .map(|(id, attempt)| {
-                let valid_until_ms = clock.to_worker_ms(attempt.lease_until);
+                let valid_until_ms = clock.worker_ms_at(attempt.lease_until);
                 (TaskLease { attempt: id.clone(), valid_until_ms }, attempt.lease_until)
             })
             .unzip();
@@ -242,7 +242,7 @@
         let order = attempt.order.as_ref().filter(|_| starting && now < attempt.lease_until)?;
         Some(Action::Start(StartTask {
             claim,
-            valid_until_ms: clock.to_worker_ms(attempt.lease_until),
+            valid_until_ms: clock.worker_ms_at(attempt.lease_until),
             attempt: id.clone(),
             team: order.team.clone(),
             class: order.class.clone(),
--- a/crates/core/src/tasks/listing.rs
+++ b/crates/core/src/tasks/listing.rs
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Ends attempts that are missing from the list and can no longer reach the worker.
+    /// Ends attempts that are missing from the list and whose start can no longer reach the worker.
     fn end_absent(
         &mut self,
         asked_at: Time,
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -1,5 +1,5 @@
-//! Guards against requests that run twice, run after they were reported as not started, or exceed
-//! the slots, connections and queue of an upstream.
+//! Guards against requests that run twice or after they were reported as not run, and against
+//! exceeding the slots, connections and queue of an upstream.
 
 #[path = "support/schedules.rs"]
 mod schedules;
@@ -14,7 +14,9 @@
 use peridotfold_core::message::request::{CancelReply, RefuseReason, RequestId};
 use peridotfold_core::time::Time;
 
+/// Random schedules, one per seed.
 const SCHEDULES: u64 = 10_000;
+/// Steps in each schedule.
 const STEPS: usize = 200;
 const LIMITS: Limits = Limits { slots: 8, connections: 60, queue: 32 };
 
@@ -26,25 +28,29 @@
     Duration::from_millis(ms)
 }
 
+/// State of a request according to the answers so far.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
     Queued {
         deadline: Time,
     },
+    /// Running, and holds a slot.
     InSlot,
+    /// Running, and holds only a connection.
     Stream,
     Ended,
-    /// Reported as certainly not run.
+    /// Reported as not run.
     NotRun,
 }
 
-/// Drives one admission at random and checks each answer against what was answered before.
+/// Applies random operations to an [`Admission`] and checks each answer against the earlier ones.
 struct Model {
     rng: fastrand::Rng,
     now: Time,
     limits: Limits,
     admission: Admission,
     phases: HashMap<RequestId, Phase>,
+    /// Next request number of each entry.
     next_number: [u64; 3],
     leaving: bool,
 }
@@ -65,6 +71,7 @@
         }
     }
 
+    /// Returns a random request in one of the wanted phases.
     fn pick(&mut self, wanted: impl Fn(Phase) -> bool) -> Option<RequestId> {
         let mut ids: Vec<_> =
             self.phases.iter().filter(|(_, p)| wanted(**p)).map(|(id, _)| id.clone()).collect();
@@ -76,15 +83,16 @@
         self.phases.values().filter(|phase| wanted(**phase)).count() as u32
     }
 
-    fn fresh(&mut self) -> RequestId {
+    /// Returns the id of a new request, whose number may be out of order.
+    fn new_id(&mut self) -> RequestId {
         let entry = self.rng.usize(0..3);
-        // Requests of one entry may overtake each other on their way.
+        // Requests of one entry may be reordered in the network.
         let number = self.next_number[entry] + self.rng.u64(0..3);
         self.next_number[entry] += 1;
         id(entry as u64, 1, number)
     }
 
-    fn started(&mut self, id: &RequestId) {
+    fn mark_started(&mut self, id: &RequestId) {
         let before = self.phases.insert(id.clone(), Phase::InSlot);
         assert!(
             matches!(before, None | Some(Phase::Queued { .. })),
@@ -104,7 +112,7 @@
                         panic!("{id:?} started without having been queued");
                     };
                     assert!(self.now < deadline);
-                    self.started(&id);
+                    self.mark_started(&id);
                 }
                 Action::Refuse(id, _) => {
                     let before = self.phases.insert(id, Phase::NotRun);
@@ -122,7 +130,7 @@
         match self.admission.offer(self.now, &id, deadline) {
             Offer::Start => {
                 assert!(!self.leaving && self.now < deadline);
-                self.started(&id);
+                self.mark_started(&id);
             }
             Offer::Queued => {
                 assert!(!self.leaving);
@@ -134,7 +142,7 @@
                 let before = self.phases.insert(id, Phase::NotRun);
                 assert!(matches!(before, None | Some(Phase::NotRun)), "{before:?} {refusal:?}");
             }
-            // Says nothing certain, so it is always allowed.
+            // Leaves open whether the request ran, so it is always a correct answer.
             Offer::Repeated => {}
         }
     }
@@ -197,7 +205,7 @@
         match kind {
             _ if !schedules::step(|| format!("{:?} kind {kind}", self.now)) => {}
             0..=39 => {
-                let id = self.fresh();
+                let id = self.new_id();
                 self.offer(id);
             }
             40..=49 => {
@@ -211,8 +219,8 @@
                 }
             }
             57..=59 => {
-                // The cancellation overtakes its request.
-                let id = self.fresh();
+                // The cancellation arrives before its request.
+                let id = self.new_id();
                 self.cancel(id.clone());
                 self.offer(id);
             }
@@ -237,11 +245,11 @@
         assert!(load.queued <= self.limits.queue);
     }
 
-    /// Everything that was admitted ends, so that a drain comes to its end.
+    /// Drains the admission and checks that it becomes idle once all admitted requests have ended.
     fn drain(&mut self) {
         self.admission.leave();
         self.leaving = true;
-        let id = self.fresh();
+        let id = self.new_id();
         self.offer(id);
         while self.count(|phase| matches!(phase, Phase::InSlot | Phase::Stream)) > 0 {
             self.finish();
@@ -301,14 +309,14 @@
     let new = id(1, 7, 1);
     let full = admission.offer(ms(1), &new, ms(1_000));
     assert!(matches!(full, Offer::Refused(Refusal { reason: RefuseReason::Overloaded, .. })));
-    // An id that is not remembered must not be promised to be refused later.
+    // The id cannot be recorded, so the reply must not promise that the request never starts.
     assert_eq!(admission.cancel(ms(1), &id(2, 7, 1)).0, CancelReply::Done);
     let later = INCARNATION_IDLE + ms(1);
     assert_eq!(admission.offer(later, &new, later + ms(1_000)), Offer::Start);
 }
 
-/// Fills all slots with requests and measures a service time of 100 ms.
-fn busy() -> (Admission, Time) {
+/// Returns an admission with a measured service time of 100 ms and all slots in use, and its time.
+fn busy_admission() -> (Admission, Time) {
     let mut admission = Admission::new(LIMITS);
     for number in 0..40 {
         let id = id(0, 1, number);
@@ -323,19 +331,19 @@
 
 #[test]
 fn request_that_would_miss_its_deadline_is_refused_at_once() {
-    let (mut admission, now) = busy();
+    let (mut admission, now) = busy_admission();
     assert_eq!(admission.offer(now, &id(0, 1, 50), now + ms(1_000)), Offer::Queued);
     let Offer::Refused(refusal) = admission.offer(now, &id(0, 1, 51), now + ms(60)) else {
         panic!("accepted although its slot is expected after the deadline");
     };
     assert_eq!(refusal.reason, RefuseReason::Overloaded);
-    // Two requests wait for 8 slots of 100 ms each.
+    // The wait covers two requests on 8 slots with 100 ms each.
     assert_eq!(refusal.retry_after, ms(25));
 }
 
 #[test]
 fn retry_after_grows_with_the_queue() {
-    let (mut admission, now) = busy();
+    let (mut admission, now) = busy_admission();
     for number in 50..82 {
         assert_eq!(admission.offer(now, &id(0, 1, number), now + ms(9_000)), Offer::Queued);
     }
@@ -362,7 +370,7 @@
 
 #[test]
 fn hanging_upstream_shows_in_the_latency() {
-    let (admission, now) = busy();
+    let (admission, now) = busy_admission();
     assert!(admission.load(now).latency <= ms(101));
     assert!(admission.load(now + ms(5_000)).latency >= ms(5_000));
 }
--- a/crates/core/tests/colocation.rs
+++ b/crates/core/tests/colocation.rs
@@ -1,4 +1,4 @@
-//! Colocation controller against a model of a VM under seeded random loads on virtual time.
+//! Tests the colocation controller against a simulated VM with seeded random loads in virtual time.
 
 #[path = "support/schedules.rs"]
 mod schedules;
@@ -12,48 +12,61 @@
 use peridotfold_core::resources::Resources;
 
 const SCHEDULES: u64 = 10_000;
-const HOUR: u64 = 3_600;
-const CALM_START: u64 = 60;
-/// First wait before a restore is 6 lags, and doubles with each restore that is undone: an hour
-/// has room for at most log2(3600 s / 6 lags) + 1 undone restores of a class.
+/// Duration of the constant load in seconds.
+const HOUR_S: u64 = 3_600;
+/// Seconds without batch load at the start, in which the controller measures the baseline.
+const WARM_UP_S: u64 = 60;
+
+/// Returns the most reversals between throttle and restore that a class may have in an hour. The
+/// first wait before a restore is 6 lags and doubles with each reverted restore, so an hour has room
+/// for at most log2(3600 s / 6 lags) + 1 reverted restores.
 fn reversal_bound(lag: Duration) -> u32 {
-    let undone = (HOUR as f64 / (lag.as_secs_f64() * 6.0)).log2().ceil() as u32 + 1;
-    2 * undone + 1
+    let reverted = (HOUR_S as f64 / (lag.as_secs_f64() * 6.0)).log2().ceil() as u32 + 1;
+    2 * reverted + 1
 }
 
-/// Seconds in an hour in which the service may be slow. Each of three classes is throttled in at
-/// most three steps, and each restore that is undone costs one more. A step takes two high samples
-/// and two lags. If that is not enough, at most 9 of 15 tasks have to go, since 6 of them at a tenth
-/// of their speed add at most 18 %. The first goes after 10 s of doubled latency, 50 s at a
-/// slow-down of 20 %, and each further one after half of that. At most 10 % and 17 % of the hour.
-fn slow_bound(lag: Duration, enough: bool) -> f64 {
-    let undone = (reversal_bound(lag) - 1) / 2;
-    let steps = f64::from(3 * (3 + undone));
+/// Returns the seconds in an hour in which the service may be slow. Each of three classes is
+/// throttled in at most three steps, plus one for each reverted restore. A step takes two high
+/// samples and two lags. If throttling does not suffice, at most 9 of 15 tasks have to be evicted,
+/// because 6 tasks at a tenth of their speed add at most 18 %. The first eviction follows after 10 s
+/// of doubled latency, which is 50 s at a slowdown of 20 %, and each further one after half of that.
+/// The bounds are at most 10 % of the hour, or 17 % with evictions.
+fn slow_bound(lag: Duration, throttling_suffices: bool) -> f64 {
+    let reverted = (reversal_bound(lag) - 1) / 2;
+    let steps = f64::from(3 * (3 + reverted));
     let throttling = steps * (2.0 + 2.0 * lag.as_secs_f64());
-    throttling + if enough { 0.0 } else { 50.0 + 8.0 * 25.0 }
+    throttling + if throttling_suffices { 0.0 } else { 50.0 + 8.0 * 25.0 }
 }
 
+/// Batch class on the simulated VM.
 struct Class {
     tasks: u32,
-    /// Slow-down of the service by one task at full speed.
+    /// Slowdown of the service by one task at full speed, relative to the baseline.
     interference: f64,
-    /// Tasks that were evicted and come back once the class is admitted.
-    away: u32,
-    rising: Option<bool>,
+    /// Evicted tasks, which start again once the class is admitted.
+    evicted: u32,
+    /// Tells whether the last change of the speed was a restore.
+    last_rising: Option<bool>,
+    /// Changes from throttle to restore or back.
     reversals: u32,
 }
 
+/// Simulated VM with its controller.
 struct Model {
     rng: Rng,
     lag: Duration,
-    base: f64,
+    /// Latency without batch load, in seconds.
+    baseline: f64,
+    /// Largest relative error of a measurement.
     noise: f64,
+    /// Latency in seconds, smoothed with the measurement lag.
     smoothed: f64,
     classes: BTreeMap<String, Class>,
     controller: Colocation,
     evictions: u32,
-    /// Seconds in which the true latency was above 1.2 times that without batch work.
-    slow: u64,
+    /// Seconds in which the true latency exceeded 1.2 times the baseline.
+    slow_seconds: u64,
+    /// Work done by batch tasks, in task-seconds at full speed.
     throughput: f64,
 }
 
@@ -61,7 +74,7 @@
     fn new(seed: u64, interference: std::ops::Range<f64>) -> Model {
         let mut rng = Rng::with_seed(seed);
         let lag = Duration::from_millis(rng.u64(500..4_000));
-        let base = 0.002 + rng.f64() * 0.03;
+        let baseline = 0.002 + rng.f64() * 0.03;
         let names = ["rebuild", "report", "watch"];
         let count = rng.usize(1..4);
         let classes = names[..count].iter().map(|name| {
@@ -69,26 +82,27 @@
             let class = Class {
                 tasks: rng.u32(1..6),
                 interference: interference.start + rng.f64() * width,
-                away: 0,
-                rising: None,
+                evicted: 0,
+                last_rising: None,
                 reversals: 0,
             };
             ((*name).to_owned(), class)
         });
         Model {
             lag,
-            base,
+            baseline,
             noise: 0.02,
-            smoothed: base,
+            smoothed: baseline,
             classes: classes.collect(),
             controller: Colocation::new(lag, Duration::from_millis(50)),
             evictions: 0,
-            slow: 0,
+            slow_seconds: 0,
             throughput: 0.0,
             rng,
         }
     }
 
+    /// Returns the latency in seconds without lag and noise, with or without batch load.
     fn true_latency(&self, batch: bool) -> f64 {
         let speeds = self.controller.speeds();
         let slowdown = |(name, class): (&String, &Class)| {
@@ -96,14 +110,15 @@
             f64::from(class.tasks) * class.interference * speed
         };
         let sum: f64 = self.classes.iter().map(slowdown).sum();
-        self.base * (1.0 + if batch { sum } else { 0.0 })
+        self.baseline * (1.0 + if batch { sum } else { 0.0 })
     }
 
+    /// Simulates one second.
     fn second(&mut self, second: u64, batch: bool) {
         let now = Duration::from_secs(second);
         let latency = self.true_latency(batch);
-        if batch && latency > 1.2 * self.base {
-            self.slow += 1;
+        if batch && latency > 1.2 * self.baseline {
+            self.slow_seconds += 1;
         }
         let weight = 1.0 - (-1.0 / self.lag.as_secs_f64()).exp();
         self.smoothed += (latency - self.smoothed) * weight;
@@ -124,7 +139,7 @@
         let blocked_classes = self.controller.blocked_classes(now);
         for (name, class) in &mut self.classes {
             if !blocked_classes.contains(name) {
-                class.tasks += std::mem::take(&mut class.away);
+                class.tasks += std::mem::take(&mut class.evicted);
             }
         }
     }
@@ -137,22 +152,22 @@
                 self.evictions += 1;
                 let class = self.classes.get_mut(&class).unwrap();
                 class.tasks -= 1;
-                class.away += 1;
+                class.evicted += 1;
                 return;
             }
         };
         let class = self.classes.get_mut(&class).unwrap();
-        if class.rising.is_some_and(|before| before != rising) {
+        if class.last_rising.is_some_and(|before| before != rising) {
             class.reversals += 1;
         }
-        class.rising = Some(rising);
+        class.last_rising = Some(rising);
     }
 
     fn run(&mut self, seconds: u64) {
-        for second in 0..CALM_START {
+        for second in 0..WARM_UP_S {
             self.second(second, false);
         }
-        for second in CALM_START..CALM_START + seconds {
+        for second in WARM_UP_S..WARM_UP_S + seconds {
             self.second(second, true);
         }
     }
@@ -169,52 +184,55 @@
     });
 }
 
-/// Guards against a controller that swings between throttling and restoring under constant load,
-/// that leaves the service slow, or that evicts where throttling is enough.
+/// Guards against oscillation between throttling and restoring under constant load, a service that
+/// stays slow, and evictions where throttling suffices.
 #[test]
 fn constant_load_settles_without_oscillation() {
     for_each_seed(SCHEDULES, |seed| {
         let mut model = Model::new(seed, 0.0..0.3);
-        model.run(HOUR);
+        model.run(HOUR_S);
         let bound = reversal_bound(model.lag);
         let reversals = model.reversals();
         assert!(reversals <= bound, "{reversals} reversals, bound {bound}, lag {:?}", model.lag);
-        let at_floor: f64 = model
+        let slowdown_at_floor: f64 = model
             .classes
             .values()
-            .map(|class| f64::from(class.tasks + class.away) * class.interference * 0.1)
+            .map(|class| f64::from(class.tasks + class.evicted) * class.interference * 0.1)
             .sum();
-        let enough = at_floor < 0.1;
-        assert!(!enough || model.evictions == 0, "evicted, but full throttle is enough");
-        let slow = model.slow as f64 / HOUR as f64;
-        let allowed = slow_bound(model.lag, enough) / HOUR as f64;
-        assert!(slow <= allowed, "slow for {:.1} % of the hour", slow * 100.0);
+        let throttling_suffices = slowdown_at_floor < 0.1;
+        assert!(
+            !throttling_suffices || model.evictions == 0,
+            "evicted, but full throttle is enough"
+        );
+        let slow_fraction = model.slow_seconds as f64 / HOUR_S as f64;
+        let allowed = slow_bound(model.lag, throttling_suffices) / HOUR_S as f64;
+        assert!(slow_fraction <= allowed, "slow for {:.1} % of the hour", slow_fraction * 100.0);
     });
 }
 
-/// Guards against a controller that keeps a harmful class on the VM when throttling fails, or
-/// evicts it again and again.
+/// Guards against a class that stays on the VM although throttling it does not suffice, and against
+/// repeated evictions of the same tasks.
 #[test]
 fn harmful_class_is_evicted_when_throttling_fails() {
     for_each_seed(SCHEDULES, |seed| {
         let mut model = Model::new(seed, 4.0..8.0);
-        model.run(HOUR);
+        model.run(HOUR_S);
         assert!(model.evictions > 0, "a service slowed by 40 % and more is left alone");
-        // The wait before the class is admitted again starts at 120 s and doubles.
-        let tasks: u32 = model.classes.values().map(|class| class.tasks + class.away).sum();
+        // After an eviction the class is blocked for 120 s, which doubles with each further one.
+        let tasks: u32 = model.classes.values().map(|class| class.tasks + class.evicted).sum();
         assert!(model.evictions <= tasks * 6, "{} evictions of {tasks} tasks", model.evictions);
         assert!(model.reversals() <= reversal_bound(model.lag));
     });
 }
 
-/// Guards against batch work that stays throttled for load that it does not cause.
+/// Guards against batch tasks that stay throttled after a rise in latency that they do not cause.
 #[test]
 fn harmless_work_runs_at_full_speed_again_after_the_services_own_load_rises() {
     for_each_seed(SCHEDULES, |seed| {
         let mut model = Model::new(seed, 0.0..1e-9);
         model.run(300);
-        model.base *= 1.5;
-        for second in CALM_START + 300..CALM_START + 300 + HOUR {
+        model.baseline *= 1.5;
+        for second in WARM_UP_S + 300..WARM_UP_S + 300 + HOUR_S {
             model.second(second, true);
         }
         assert_eq!(model.evictions, 0, "evicted harmless work");
@@ -222,11 +240,12 @@
     });
 }
 
+/// Returns a wall-clock time, in seconds after a fixed start.
 fn at(seconds: u64) -> SystemTime {
     humantime::parse_rfc3339("2026-12-31T20:00:00Z").unwrap() + Duration::from_secs(seconds)
 }
 
-/// Guards against a closing that begins with the VM still full of batch work, or does not end.
+/// Guards against a closing that begins before the VM has been cleared of batch tasks, or never ends.
 #[test]
 fn closing_limits_apply_from_the_lead_time_to_the_end() {
     let service = Service {
--- a/crates/core/tests/overload.rs
+++ b/crates/core/tests/overload.rs
@@ -1,5 +1,5 @@
-//! Guards the targets for overload: goodput at twice the capacity of at least 95%, and 99% of the
-//! accepted requests within their deadline.
+//! Guards the targets under overload: with offered load at twice the capacity, goodput is at least
+//! 95% of the capacity, and 99% of the accepted requests meet their deadline.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -10,17 +10,21 @@
 use peridotfold_core::time::Time;
 
 const LIMITS: Limits = Limits { slots: 8, connections: 60, queue: 32 };
+/// Mean service time.
 const MEAN: Duration = Duration::from_millis(10);
 const REQUESTS: u64 = 20_000;
+/// Ratio of the arrival rate to the capacity.
 const OVERLOAD: f64 = 2.0;
 
-/// One upstream under a random load, on virtual time.
+/// Simulation of one upstream under random load in virtual time.
 struct Simulation {
     rng: fastrand::Rng,
     admission: Admission,
+    /// End times and numbers of the running requests.
     ends: BinaryHeap<Reverse<(Time, u64)>>,
     deadlines: HashMap<u64, Time>,
     accepted: u64,
+    /// Requests that ended by their deadline.
     in_time: u64,
 }
 
@@ -70,7 +74,8 @@
     }
 }
 
-/// Returns the goodput as a part of the capacity, and the part of accepted requests in time.
+/// Returns the goodput as a fraction of the capacity, and the fraction of accepted requests that meet
+/// their deadline.
 fn overload(seed: u64, timeout: Duration) -> (f64, f64) {
     let mut simulation = Simulation {
         rng: fastrand::Rng::with_seed(seed),
--- a/crates/core/tests/tasks/cases.rs
+++ b/crates/core/tests/tasks/cases.rs
@@ -1,4 +1,4 @@
-//! Single cases that the random schedules reach only by chance.
+//! Tests of single cases that the random schedules rarely cover.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -106,7 +106,7 @@
     })
 }
 
-/// Guards against a report that tells the owner that running tasks are gone.
+/// Guards against a report that omits running tasks, so that the owner considers them lost.
 #[test]
 fn nothing_is_reported_before_the_worker_is_claimed_and_listed() {
     let mut tasks = unclaimed();
@@ -125,7 +125,7 @@
     assert_eq!(report.free, Resources::new(2_000, 8_000, 0));
 }
 
-/// Guards against a start by a reply that is duplicated or answers an earlier report.
+/// Guards against starts from a duplicated reply or a reply to an earlier report.
 #[test]
 fn late_and_duplicated_orders_start_nothing() {
     let mut tasks = adopted(seconds(1), Vec::new());
@@ -138,7 +138,7 @@
     assert_eq!(starts(&tasks.actions(seconds(3))), [id(1, 1, 2)]);
 }
 
-/// Guards against a start whose lease, counted from the report, has run out.
+/// Guards against a start whose lease, counted from the sending of the report, has expired.
 #[test]
 fn lease_counts_from_when_the_report_was_sent() {
     let mut tasks = adopted(seconds(1), Vec::new());
@@ -158,7 +158,7 @@
     assert!(tasks.begin(seconds(40), &actions[0]));
 }
 
-/// Guards against orders of a replaced owner, also right after a restart.
+/// Guards against applying orders of a replaced owner, including right after the agent's restart.
 #[test]
 fn orders_of_an_old_epoch_are_refused() {
     let mut tasks = adopted_at(5, seconds(1), vec![listed_task(id(0, 5, 9), None)]);
@@ -179,8 +179,9 @@
     actions.iter().filter(|action| matches!(action, Action::Renew { .. })).count()
 }
 
-/// Guards against two live attempts after an agent restarts: it has adopted a task of an earlier
-/// epoch and reaches the former owner, which would renew a task that the new owner gives up.
+/// Guards against two running attempts of a task after an agent restarts. A restarted agent that knows
+/// only the epoch of its adopted task could accept a renewal from the former owner, while the new
+/// owner considers the attempt expired.
 #[test]
 fn restarted_agent_refuses_the_owner_that_its_predecessor_had_replaced() {
     let task = || vec![listed_task(id(0, 1, 1), None)];
@@ -200,8 +201,8 @@
     assert!(actions.is_empty(), "obeys the former owner: {actions:?}");
 }
 
-/// Guards against grants of a new owner that are obeyed, and an acceptance that is reported, while
-/// a restarted agent would not know of it.
+/// Guards against leases and starts that are accepted, or an epoch that is reported, before the worker
+/// stores the new epoch. A restarted agent would not know that epoch.
 #[test]
 fn grants_of_a_new_epoch_wait_until_the_worker_keeps_it() {
     let mut tasks = adopted(seconds(50), vec![listed_task(id(0, 1, 1), None)]);
@@ -220,7 +221,7 @@
     assert_eq!((starts(&actions).len(), renewals(&actions)), (1, 1));
 }
 
-/// Guards against a newer attempt that starts beside an older one of its task.
+/// Guards against a newer attempt that starts while an older one of its task is still running.
 #[test]
 fn newer_attempt_waits_until_the_older_is_gone() {
     let older = id(0, 1, 1);
@@ -250,7 +251,8 @@
     assert_eq!(starts(&tasks.actions(seconds(3))), [newer]);
 }
 
-/// Guards against results that are forgotten before the commit or kept by the worker for ever.
+/// Guards against results that are dropped before the owner commits them, or never removed from the
+/// worker.
 #[test]
 fn result_is_repeated_until_acknowledged_and_then_removed() {
     let done = listed_task(id(0, 1, 1), Some(WorkerOutcome::Completed));
@@ -270,7 +272,8 @@
     assert_eq!(tasks.actions(seconds(5)), [Action::Remove(id(0, 1, 1))]);
 }
 
-/// Guards against results that exceed the frame limit, or are taken as lost when they are delayed.
+/// Guards against reports that exceed the frame limit, and against delayed results that the owner
+/// considers lost.
 #[test]
 fn results_that_do_not_fit_are_reported_as_running() {
     let checkpoint = Some("x".repeat(100 * 1024));
@@ -283,7 +286,7 @@
     assert_eq!((report.results.len(), report.running.len()), (5, 15));
 }
 
-/// Guards against a leaving agent that takes work or forgets to hand some back.
+/// Guards against a draining agent that accepts starts or fails to hand tasks back.
 #[test]
 fn drain_refuses_starts_and_hands_tasks_back() {
     let mut tasks = adopted(seconds(1), vec![listed_task(id(0, 1, 1), None)]);
--- a/crates/core/tests/tasks/main.rs
+++ b/crates/core/tests/tasks/main.rs
@@ -1,4 +1,4 @@
-//! Attempts on VMs under seeded random schedules on virtual time.
+//! Tests of the agent's task state: single cases, and seeded random schedules in virtual time.
 
 mod cases;
 #[path = "../support/machine.rs"]
--- a/crates/core/tests/tasks/model_owner.rs
+++ b/crates/core/tests/tasks/model_owner.rs
@@ -1,4 +1,4 @@
-//! Model of a cell owner that keeps the rules of `docs/design.md` 3.8 and nothing more.
+//! Minimal model of a cell owner that follows only the rules of `docs/design.md` 3.8.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,6 +11,7 @@
 use peridotfold_core::resources::Resources;
 use peridotfold_core::time::lease_wait;
 
+/// Lease that each reply grants, counted from the report.
 pub const LEASE: Duration = Duration::from_secs(4);
 
 #[derive(Debug)]
@@ -19,9 +20,10 @@
     Assigned {
         vm: usize,
         token: Token,
-        /// Report that the start order answered.
+        /// Incarnation and sequence of the report that the start order answered.
         incarnation: u64,
         sequence: u64,
+        /// Time of the last reply that may have granted a lease.
         granted_at: Duration,
     },
     Completed,
@@ -37,12 +39,13 @@
 
 pub struct ModelOwner {
     pub epoch: u64,
-    number: u64,
+    last_number: u64,
     pub tasks: Vec<OwnedTask>,
-    /// Last report of each VM: incarnation and sequence.
-    seen: BTreeMap<usize, (u64, u64)>,
-    /// Latest time, on the world's clock, to which any reply granted a lease on an attempt.
+    /// Incarnation and sequence of the last report of each VM.
+    last_reports: BTreeMap<usize, (u64, u64)>,
+    /// Latest end of the leases granted on each attempt, on the simulation's clock.
     pub granted_until: BTreeMap<AttemptId, Duration>,
+    /// Number of attempts that ended as stopped or evicted.
     pub evictions: u64,
 }
 
@@ -56,9 +59,9 @@
         };
         ModelOwner {
             epoch: 1,
-            number: 0,
+            last_number: 0,
             tasks: (0..tasks).map(|_| task(rng)).collect(),
-            seen: BTreeMap::new(),
+            last_reports: BTreeMap::new(),
             granted_until: BTreeMap::new(),
             evictions: 0,
         }
@@ -68,11 +71,11 @@
         self.tasks.iter().all(|task| matches!(task.state, State::Completed))
     }
 
-    /// A new owner takes the cell over after a clean release. It does not know when its
-    /// predecessor replied last.
+    /// Replaces the owner by a successor after a clean release. The successor does not know when the
+    /// former owner last granted leases.
     pub fn take_over(&mut self, now: Duration) {
         self.epoch += 1;
-        self.seen.clear();
+        self.last_reports.clear();
         for task in &mut self.tasks {
             if let State::Assigned { granted_at, .. } = &mut task.state {
                 *granted_at = now;
@@ -80,7 +83,7 @@
         }
     }
 
-    /// Gives up attempts that nobody can have renewed since.
+    /// Requeues tasks whose last possible lease has expired.
     pub fn expire(&mut self, now: Duration) {
         for task in &mut self.tasks {
             match task.state {
@@ -92,7 +95,7 @@
         }
     }
 
-    /// Answers a report that was sent at `sent_at`.
+    /// Answers a report that was sent at `sent_at`; returns `None` for a duplicate or late report.
     pub fn handle(
         &mut self,
         now: Duration,
@@ -101,13 +104,13 @@
         report: &Report,
         rng: &mut Rng,
     ) -> Option<Orders> {
-        if !self.accept(vm, report) {
+        if !self.record_report(vm, report) {
             return None;
         }
         for result in &report.results {
-            self.take_result(&result.attempt, &result.outcome);
+            self.apply_result(&result.attempt, &result.outcome);
         }
-        self.take_absent(vm, report);
+        self.requeue_absent(vm, report);
         let mut orders = Orders {
             epoch: self.epoch,
             sequence: report.sequence,
@@ -115,22 +118,23 @@
             acknowledged: report.results.iter().map(|result| result.attempt.clone()).collect(),
             ..Orders::default()
         };
-        self.take_running(now, vm, sent_at, report, rng, &mut orders);
-        self.place(now, vm, sent_at, report, rng, &mut orders);
+        self.answer_running(now, vm, sent_at, report, rng, &mut orders);
+        self.start_queued(now, vm, sent_at, report, rng, &mut orders);
         Some(orders)
     }
 
-    fn accept(&mut self, vm: usize, report: &Report) -> bool {
-        // Here incarnations rise. A late report of a killed agent must not pass for its successor's.
+    /// Records a report; tells whether it is newer than the last one of its VM.
+    fn record_report(&mut self, vm: usize, report: &Report) -> bool {
+        // Incarnations ascend in this model, so a late report of a killed agent is older.
         let key = (report.incarnation, report.sequence);
-        let newer = self.seen.get(&vm).is_none_or(|last| *last < key);
+        let newer = self.last_reports.get(&vm).is_none_or(|last| *last < key);
         if newer {
-            self.seen.insert(vm, key);
+            self.last_reports.insert(vm, key);
         }
         newer
     }
 
-    fn take_result(&mut self, id: &AttemptId, outcome: &Outcome) {
+    fn apply_result(&mut self, id: &AttemptId, outcome: &Outcome) {
         let task = &mut self.tasks[id.task as usize];
         match task.state {
             State::Assigned { token, .. } if token == id.token => {}
@@ -148,8 +152,8 @@
         }
     }
 
-    /// An attempt that a later report does not contain is gone.
-    fn take_absent(&mut self, vm: usize, report: &Report) {
+    /// Requeues tasks whose attempt is missing from a report after the one that ordered the start.
+    fn requeue_absent(&mut self, vm: usize, report: &Report) {
         let present: BTreeSet<(u32, Token)> =
             report.running.iter().map(|task| (task.attempt.task, task.attempt.token)).collect();
         for (index, task) in self.tasks.iter_mut().enumerate() {
@@ -166,7 +170,9 @@
         }
     }
 
-    fn take_running(
+    /// Renews the leases of assigned attempts, repeats some starts, and stops some and all unassigned
+    /// attempts.
+    fn answer_running(
         &mut self,
         now: Duration,
         vm: usize,
@@ -195,7 +201,7 @@
         }
     }
 
-    /// Orders a start that was ordered before, and one with an older token.
+    /// Orders the start of an attempt again, and one of the same task with an older token.
     fn repeat_start(&mut self, id: &AttemptId, sent_at: Duration, orders: &mut Orders) {
         self.grant(id, sent_at);
         orders.starts.push(self.start_order(id.clone()));
@@ -203,12 +209,14 @@
         orders.starts.push(self.start_order(AttemptId { token, ..id.clone() }));
     }
 
+    /// Records the lease that a reply grants on an attempt.
     fn grant(&mut self, id: &AttemptId, sent_at: Duration) {
         let until = self.granted_until.entry(id.clone()).or_default();
         *until = (*until).max(sent_at + LEASE);
     }
 
-    fn place(
+    /// Assigns random queued tasks to the VM.
+    fn start_queued(
         &mut self,
         now: Duration,
         vm: usize,
@@ -218,13 +226,13 @@
         orders: &mut Orders,
     ) {
         for index in 0..self.tasks.len() {
-            // Ignores the free capacity, so that the agent has to.
+            // Ignores the free capacity, so that the agent has to refuse starts that do not fit.
             let queued = matches!(self.tasks[index].state, State::Queued);
             if !queued || rng.u8(..100) >= 40 {
                 continue;
             }
-            self.number += 1;
-            let token = Token { epoch: self.epoch, number: self.number };
+            self.last_number += 1;
+            let token = Token { epoch: self.epoch, number: self.last_number };
             let id = AttemptId { job: "job".into(), task: index as u32, token };
             self.tasks[index].state = State::Assigned {
                 vm,
--- a/crates/core/tests/tasks/model_worker.rs
+++ b/crates/core/tests/tasks/model_worker.rs
@@ -1,4 +1,4 @@
-//! Model of the platform's worker on the clock of its VM.
+//! Model of the platform's worker. All times are on the clock of its VM.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,26 +11,34 @@
 use peridotfold_core::tasks::{Action, ActionResult};
 
 pub const CAPACITY: Resources = Resources::new(16_000, 60_000, 2);
+/// Time between accepting a stop and the end of the task.
 const STOP_TIME: Duration = Duration::from_millis(300);
 
+/// Task on the model worker.
 pub struct ModelTask {
     pub info: WorkerTask,
+    /// Work to do, in milliseconds at full speed.
     work_ms: u64,
     progress_ms: u64,
+    /// Actual usage in percent of the declared need.
     usage_percent: u64,
+    /// Time and outcome of an accepted stop.
     stop: Option<(Duration, WorkerOutcome)>,
 }
 
-/// A worker whose times are those of its VM.
+/// Model of a worker.
 pub struct ModelWorker {
     pub claim: Claim,
+    /// Highest epoch of all claims.
     epoch: u64,
-    /// VM time at which the worker's clock was zero.
-    origin: Duration,
-    last: Duration,
+    /// Time at which the worker's clock was zero.
+    clock_origin: Duration,
+    /// Time up to which the tasks have been simulated.
+    last_advance: Duration,
     pub tasks: BTreeMap<AttemptId, ModelTask>,
-    seen: BTreeMap<(String, u32), Token>,
-    /// Attempts in the order of their starts, with the progress they resumed from.
+    /// Highest token started or stopped for each job id and task.
+    latest_tokens: BTreeMap<(String, u32), Token>,
+    /// Attempts in the order of their starts, with the progress in milliseconds they resumed from.
     pub started: Vec<(AttemptId, u64)>,
     pub completed: Vec<AttemptId>,
 }
@@ -40,16 +48,16 @@
         ModelWorker {
             claim: Claim { instance, controller: 0 },
             epoch: 0,
-            origin: now,
-            last: now,
+            clock_origin: now,
+            last_advance: now,
             tasks: BTreeMap::new(),
-            seen: BTreeMap::new(),
+            latest_tokens: BTreeMap::new(),
             started: Vec::new(),
             completed: Vec::new(),
         }
     }
 
-    /// Ends all tasks, as a crash of the worker does. Its VM stays.
+    /// Simulates a crash and restart of the worker process, which loses all tasks.
     pub fn restart(&mut self, now: Duration) {
         let instance = self.claim.instance + 1;
         let started = std::mem::take(&mut self.started);
@@ -57,7 +65,7 @@
         *self = ModelWorker { started, completed, ..ModelWorker::new(now, instance) };
     }
 
-    /// Makes or keeps a claim; `None` when another agent holds it.
+    /// Makes or confirms a claim; returns `None` if the claim to confirm is not the latest one.
     pub fn claim(&mut self, request: ClaimRequest) -> Option<ClaimReply> {
         match request.keep {
             Some(claim) if claim != self.claim => return None,
@@ -73,9 +81,9 @@
     }
 
     pub fn advance(&mut self, now: Duration) {
-        let elapsed = now.saturating_sub(self.last).as_millis() as u64;
-        let clock = now.saturating_sub(self.origin).as_millis() as u64;
-        self.last = now;
+        let elapsed = now.saturating_sub(self.last_advance).as_millis() as u64;
+        let worker_ms = now.saturating_sub(self.clock_origin).as_millis() as u64;
+        self.last_advance = now;
         for (id, task) in &mut self.tasks {
             if task.info.outcome.is_some() {
                 continue;
@@ -85,7 +93,7 @@
             }
             let checkpoint = || Some(task.progress_ms.to_string());
             task.info.outcome = match &task.stop {
-                _ if clock >= task.info.valid_until_ms => {
+                _ if worker_ms >= task.info.valid_until_ms => {
                     Some(WorkerOutcome::Expired { checkpoint: checkpoint() })
                 }
                 Some((at, outcome)) if now >= *at => Some(outcome.clone()),
@@ -108,31 +116,32 @@
         };
         WorkerList {
             instance: self.claim.instance,
-            now_ms: now.saturating_sub(self.origin).as_millis() as u64,
+            now_ms: now.saturating_sub(self.clock_origin).as_millis() as u64,
             controller: self.claim.controller,
             capacity: CAPACITY,
             tasks: self.tasks.values().map(listed).collect(),
         }
     }
 
-    /// Performs a request that arrives now; returns its effect and the checkpoint if one was taken.
+    /// Handles a request that arrives now; returns its result, and the checkpoint if one was taken.
     pub fn perform(&mut self, now: Duration, action: &Action) -> (ActionResult, Option<String>) {
         self.advance(now);
         let refused = |reason: &str| (ActionResult::Refused(reason.to_owned()), None);
-        let clock = now.saturating_sub(self.origin).as_millis() as u64;
+        let worker_ms = now.saturating_sub(self.clock_origin).as_millis() as u64;
         match action {
             Action::Start(start) => {
                 let key = (start.attempt.job.clone(), start.attempt.task);
-                if start.claim != self.claim || start.valid_until_ms <= clock {
-                    return refused("not allowed any more");
+                if start.claim != self.claim || start.valid_until_ms <= worker_ms {
+                    return refused("outdated claim or expired lease");
                 }
                 if self.tasks.contains_key(&start.attempt) {
                     return (ActionResult::Done, None);
                 }
-                if self.seen.get(&key).is_some_and(|seen| *seen >= start.attempt.token) {
+                if self.latest_tokens.get(&key).is_some_and(|latest| *latest >= start.attempt.token)
+                {
                     return refused("old token");
                 }
-                self.seen.insert(key, start.attempt.token);
+                self.latest_tokens.insert(key, start.attempt.token);
                 self.start(start);
                 (ActionResult::Done, None)
             }
@@ -149,8 +158,8 @@
                 (ActionResult::Done, None)
             }
             Action::Stop(id) => {
-                let seen = self.seen.entry((id.job.clone(), id.task)).or_default();
-                *seen = (*seen).max(id.token);
+                let latest = self.latest_tokens.entry((id.job.clone(), id.task)).or_default();
+                *latest = (*latest).max(id.token);
                 self.stop(now, id, None);
                 (ActionResult::Done, None)
             }
@@ -170,7 +179,7 @@
                 None => refused("unknown"),
             },
             Action::Remove(id) => {
-                // The reply to an earlier removal may have been lost.
+                // The task is unknown if the reply to an earlier removal was lost.
                 let Some(task) = self.tasks.get(id) else { return refused("unknown") };
                 assert!(task.info.outcome.is_some(), "removes the running task {id:?}");
                 self.tasks.remove(id);
--- a/crates/core/tests/tasks/schedules.rs
+++ b/crates/core/tests/tasks/schedules.rs
@@ -1,4 +1,4 @@
-//! Two VMs and a cell owner under random faults.
+//! Simulation of two VMs and a cell owner with random faults in virtual time.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,26 +10,34 @@
 use crate::model_owner::{ModelOwner, LEASE};
 use crate::support;
 
+/// Random schedules, one per seed.
 const SCHEDULES: u64 = 10_000;
+/// Virtual time of one step.
 const STEP: Duration = Duration::from_millis(100);
+/// Steps with faults at the start of a schedule.
 const FAULTY_STEPS: u32 = 350;
-/// Steps without faults in which all tasks have to complete. Each of the 6 tasks works for up to
-/// 12 s, at half speed while throttled, and may have to wait for another.
+/// Most steps without faults until all tasks have to be complete. Each of the 6 tasks runs for up to
+/// 12 s, or twice that while throttled to half speed, and may have to wait for another one.
 const CALM_STEPS: u32 = 3_000;
 const VMS: usize = 2;
 const TASKS: usize = 6;
+/// Time after which an agent sends the next report if no reply has arrived.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Probabilities of faults between agent and worker, in percent.
 const ODDS: Odds = Odds { lost: 5, slow: 20, not_sent: 4, late: 8, unknown: 4 };
 
-/// Messages between an agent and the owner.
+/// Messages in transit between an agent and the owner.
 #[derive(Default)]
 struct Link {
+    /// Time at which the agent sends its next report.
     report_due: Duration,
-    /// Reports with the times of arrival and sending, and the owner's epoch.
+    /// Reports with arrival time, sending time and the epoch of the owner that they are sent to.
     uplink: Vec<(Duration, Duration, u64, Report)>,
+    /// Orders with arrival time and the incarnation of the agent that they are sent to.
     downlink: Vec<(Duration, u64, Orders)>,
 }
 
+/// State of the simulation.
 struct World {
     rng: Rng,
     now: Duration,
@@ -38,8 +46,8 @@
     vms: Vec<Machine>,
     links: Vec<Link>,
     owner: ModelOwner,
-    /// Orders that no agent may obey.
-    forbidden: Vec<AttemptId>,
+    /// Attempts in starts of a replaced owner, which no agent may execute.
+    stale_attempts: Vec<AttemptId>,
 }
 
 impl World {
@@ -52,16 +60,17 @@
             vms: (0..VMS).map(|index| Machine::new(&mut rng, index, 0.007)).collect(),
             links: (0..VMS).map(|_| Link::default()).collect(),
             owner: ModelOwner::new(&mut rng, TASKS),
-            forbidden: Vec::new(),
+            stale_attempts: Vec::new(),
             rng,
         }
     }
 
+    /// Returns true with the given probability while faults are enabled.
     fn chance(&mut self, per_mille: u32) -> bool {
         self.faulty && self.rng.u32(..1_000) < per_mille
     }
 
-    /// A chance that is a step of the schedule.
+    /// Like [`World::chance`], and records the fault as a step of the schedule under its name.
     fn fault(&mut self, name: &str, per_mille: u32) -> bool {
         let now = self.now;
         self.chance(per_mille) && support::step(|| format!("{now:?} {name}"))
@@ -104,12 +113,12 @@
             vm.worker.restart(clock);
         }
         if self.fault(&format!("old orders to agent {index}"), 10) {
-            self.send_old_epoch(index);
+            self.send_stale_orders(index);
         }
     }
 
-    /// A replaced owner answers the last report of an agent that has seen its successor.
-    fn send_old_epoch(&mut self, index: usize) {
+    /// Lets a replaced owner answer the last report of an agent that already knows the new epoch.
+    fn send_stale_orders(&mut self, index: usize) {
         let Some(agent) = &self.vms[index].agent else { return };
         if agent.tasks.epoch() != self.owner.epoch || self.owner.epoch == 1 {
             return;
@@ -124,7 +133,7 @@
             starts: vec![self.owner.start_order(id.clone())],
             ..Orders::default()
         };
-        self.forbidden.push(id);
+        self.stale_attempts.push(id);
         self.links[index].downlink.push((self.now, agent.incarnation, orders));
     }
 
@@ -140,12 +149,12 @@
         self.check_overlap();
     }
 
-    /// Moves reports and orders, some late, lost or twice.
+    /// Delivers reports and orders, some of them late, lost or duplicated.
     fn exchange(&mut self, index: usize) {
-        let (up_lost, down_lost, twice) = (self.chance(50), self.chance(50), self.chance(100));
+        let (up_lost, down_lost, duplicated) = (self.chance(50), self.chance(50), self.chance(100));
         let late = self.chance(60);
         let delay = Duration::from_millis(self.rng.u64(..400));
-        let long = Duration::from_millis(self.rng.u64(1_000..8_000));
+        let long_delay = Duration::from_millis(self.rng.u64(1_000..8_000));
         let (vm, link) = (&mut self.vms[index], &mut self.links[index]);
         let clock = vm.clock(self.now);
         let Some(agent) = &mut vm.agent else { return };
@@ -162,15 +171,15 @@
             std::mem::take(&mut link.uplink).into_iter().partition(|(at, ..)| *at <= self.now);
         link.uplink = later;
         for (_, sent_at, epoch, report) in due {
-            // A report reaches only the process that it was sent to.
+            // A report is lost if the owner that it was sent to has been replaced.
             if epoch != self.owner.epoch {
                 continue;
             }
             let reply = self.owner.handle(self.now, index, sent_at, &report, &mut self.rng);
             let Some(orders) = reply.filter(|_| !down_lost) else { continue };
-            let arrives_at = self.now + if late { long } else { delay };
-            if twice {
-                link.downlink.push((arrives_at + long, report.incarnation, orders.clone()));
+            let arrives_at = self.now + if late { long_delay } else { delay };
+            if duplicated {
+                link.downlink.push((arrives_at + long_delay, report.incarnation, orders.clone()));
             }
             link.downlink.push((arrives_at, report.incarnation, orders));
         }
@@ -186,7 +195,7 @@
         agent.tasks.take_events();
     }
 
-    /// An attempt starts only when no other attempt of its task runs anywhere.
+    /// Checks that no two attempts of a task run at the same time.
     fn check_overlap(&mut self) {
         let mut running = BTreeMap::new();
         for vm in &mut self.vms {
@@ -200,6 +209,8 @@
         }
     }
 
+    /// Checks the invariants: no overlap, no overcommitted VM, no attempt past its lease or started by
+    /// stale orders.
     fn check(&mut self) {
         self.check_overlap();
         for vm in &self.vms {
@@ -211,13 +222,14 @@
                 assert!(self.now <= until + margin, "{id:?} runs past its lease");
             }
             for (id, _) in &vm.worker.started {
-                assert!(!self.forbidden.contains(id), "an old owner started {id:?}");
+                assert!(!self.stale_attempts.contains(id), "an old owner started {id:?}");
                 assert!(id.token.epoch > 0, "an old token started: {id:?}");
             }
         }
     }
 }
 
+/// Runs one schedule and returns its number of stopped and evicted attempts.
 fn run(seed: u64) -> u64 {
     let mut world = World::new(seed);
     for _ in 0..FAULTY_STEPS {
@@ -234,10 +246,10 @@
     world.owner.evictions
 }
 
-/// Guards against a task that runs twice or past its lease, orders of an old owner that are
-/// obeyed, a VM that is assigned too much, and tasks that are lost: with agents that are paused
-/// and killed, workers that restart, requests and orders that are late, lost or duplicated,
-/// changing owners, wrong declarations, and clocks of different rates.
+/// Guards against tasks that run twice, run past their lease or are lost, orders of a replaced owner
+/// that take effect, and overcommitted VMs. The faults are paused and killed agents, worker restarts,
+/// late, lost and duplicated messages, owner changes, wrong declared needs and clocks of different
+/// rates.
 #[test]
 fn tasks_run_once_and_complete() {
     let evictions = support::run(SCHEDULES, run);
