--- a/crates/core/src/tasks/orders.rs
+++ b/crates/core/src/tasks/orders.rs
@@ -146,7 +146,7 @@
             return self.refuse(id, "the worker does not respond".into());
         }
         if self.blocked_classes.contains(&order.class) {
-            return self.refuse(id, "the class slows the VM's service too much".into());
+            return self.refuse(id, "class slows the VM's service".into());
         }
         let key = (id.job.clone(), id.task);
         // The measured usage of an earlier attempt corrects a declared need that is too low.
