--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -1,11 +1,13 @@
-//! Admission of requests at an agent: slots, connections, a bounded queue with deadlines, drain.
+//! Admission control for the requests to one upstream: concurrency limits, a bounded queue with
+//! deadlines, and draining.
 //!
-//! A request holds a slot and a connection from its start. A response of unknown length that stays
-//! open gives its slot back and keeps its connection ([`Admission::detach`]), so that feeds do not
-//! use up the slots.
+//! An agent runs beside each upstream and forwards requests to it that arrive from the entries,
+//! which are the front-end processes. A running request holds a slot, which limits concurrent
+//! processing, and a connection to the upstream. A streaming response releases its slot and keeps
+//! its connection ([`Admission::detach`]), so that open streams do not use up the slots.
 
 pub mod estimate;
-pub mod seen;
+pub mod history;
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -13,83 +15,93 @@
 use crate::message::request::{CancelReply, RefuseReason, RequestId};
 use crate::time::Time;
 use estimate::ServiceTime;
-use seen::{Fate, Seen};
+use history::{RequestHistory, RequestState};
 
-/// Bounds of the retry-after time in refusals.
+/// Lower bound of the retry-after time in refusals.
 const RETRY_AFTER_MIN: Duration = Duration::from_millis(20);
+/// Upper bound of the retry-after time in refusals.
 const RETRY_AFTER_MAX: Duration = Duration::from_secs(30);
-/// Retry-after time when nothing can be estimated.
+/// Retry-after time when the wait for a slot cannot be estimated.
 const RETRY_AFTER_UNKNOWN: Duration = Duration::from_secs(1);
 
-/// What an upstream may be given.
+/// Limits on concurrent and queued requests of an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
+    /// Requests that are processed at the same time.
     pub slots: u32,
+    /// Open connections, including those of streaming responses.
     pub connections: u32,
+    /// Requests that wait for a slot.
     pub queue: u32,
 }
 
-/// A request that is certainly not run.
+/// Refusal of a request that has not run and will not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
     pub reason: RefuseReason,
     pub retry_after: Duration,
 }
 
-/// Decision about an arriving request.
+/// Decision on an arriving request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Offer {
+    /// The caller starts the request now.
     Start,
-    /// An [`Action`] follows.
+    /// The request waits for a slot; an [`Action`] starts or refuses it later.
     Queued,
     Refused(Refusal),
-    /// The id was admitted before, so its first copy may run or have run.
+    /// The id may have been admitted before, so an earlier copy may be running or have run.
     Repeated,
 }
 
-/// What has to be done with a request that was queued or is running.
+/// Action that the caller has to perform on a queued or running request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
     Start(RequestId),
     Refuse(RequestId, Refusal),
-    /// The entry no longer wants the running request.
+    /// Abort a running request that the entry has cancelled.
     Abort(RequestId),
 }
 
-/// How a started request ended.
+/// Result of a started request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ending {
     Answered,
-    /// Failed or was aborted; it may have run.
+    /// The request failed or was aborted; the upstream may have processed it.
     Failed,
     /// Nothing was sent to the upstream.
     NotRun,
 }
 
-/// Load as announced to entries.
+/// Load of an upstream, as announced to entries for routing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Load {
-    /// Slots that can be used, which is less than the limit when feeds hold the connections.
+    /// Usable slots: below the configured limit while streams hold most of the connections.
     pub slots: u32,
+    /// Requests that hold a slot.
     pub running: u32,
-    /// Open responses that gave their slot back.
+    /// Streaming responses that have released their slot.
     pub streams: u32,
     pub queued: u32,
+    /// Mean service time, or the mean age of the running requests if that is higher.
     pub latency: Duration,
 }
 
+/// Limited resource that a running request holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Held {
+enum HeldResource {
+    /// A slot and a connection.
     Slot,
+    /// A connection only, for a streaming response.
     Connection,
-    /// Waits for another request with the same idempotency key.
+    /// Neither: the request shares the answer of another one with the same idempotency key.
     Nothing,
 }
 
 #[derive(Debug)]
 struct Running {
-    since: Time,
-    held: Held,
+    started_at: Time,
+    resource: HeldResource,
 }
 
 #[derive(Debug)]
@@ -102,49 +114,51 @@
 #[derive(Debug)]
 pub struct Admission {
     limits: Limits,
+    /// Set while the agent drains; new requests are refused.
     leaving: bool,
     running: HashMap<RequestId, Running>,
     queue: VecDeque<Queued>,
-    in_slots: u32,
+    used_slots: u32,
+    /// Running requests that hold only a connection.
     streams: u32,
-    seen: Seen,
+    history: RequestHistory,
     service_time: ServiceTime,
 }
 
 impl Admission {
-    /// Builds the state of an upstream without requests.
+    /// Creates the state of an upstream without requests.
     pub fn new(limits: Limits) -> Self {
         Admission {
             limits,
             leaving: false,
             running: HashMap::new(),
             queue: VecDeque::new(),
-            in_slots: 0,
+            used_slots: 0,
             streams: 0,
-            seen: Seen::default(),
+            history: RequestHistory::default(),
             service_time: ServiceTime::default(),
         }
     }
 
-    /// Changes the limits. Requests that run above lowered limits are not interrupted.
+    /// Changes the limits. Running requests continue even if they exceed the new limits.
     pub fn set_limits(&mut self, now: Time, limits: Limits) -> Vec<Action> {
         self.limits = limits;
-        self.promote(now)
+        self.start_queued(now)
     }
 
-    /// Decides about an arriving request that has to be answered before `deadline`.
+    /// Starts, queues or refuses an arriving request that has to be answered before `deadline`.
     pub fn offer(&mut self, now: Time, id: &RequestId, deadline: Time) -> Offer {
-        if let Some(offer) = self.known(id) {
+        if let Some(offer) = self.repeated_offer(id) {
             return offer;
         }
-        if let Some(refusal) = self.objection(now, deadline) {
-            self.seen.record(now, id, Fate::Refused);
+        if let Some(refusal) = self.refusal_for(now, deadline) {
+            self.history.record(now, id, RequestState::Refused);
             return Offer::Refused(refusal);
         }
-        if !self.seen.record(now, id, Fate::Admitted) {
-            return Offer::Refused(self.refusal(RefuseReason::Overloaded));
+        if !self.history.record(now, id, RequestState::Admitted) {
+            return Offer::Refused(self.build_refusal(RefuseReason::Overloaded));
         }
-        if self.queue.is_empty() && self.has_room() {
+        if self.queue.is_empty() && self.has_free_slot() {
             self.start(now, id.clone());
             return Offer::Start;
         }
@@ -152,93 +166,98 @@
         Offer::Queued
     }
 
-    /// Admits a request that needs neither slot nor connection because it waits for, or repeats,
-    /// the answer to another one. Never returns [`Offer::Queued`].
+    /// Admits a request that needs neither slot nor connection because it shares the answer of
+    /// another request with the same idempotency key. Never returns [`Offer::Queued`].
     pub fn join(&mut self, now: Time, id: &RequestId) -> Offer {
-        if let Some(offer) = self.known(id) {
+        if let Some(offer) = self.repeated_offer(id) {
             return offer;
         }
-        if !self.seen.record(now, id, Fate::Admitted) {
-            return Offer::Refused(self.refusal(RefuseReason::Overloaded));
+        if !self.history.record(now, id, RequestState::Admitted) {
+            return Offer::Refused(self.build_refusal(RefuseReason::Overloaded));
         }
-        self.running.insert(id.clone(), Running { since: now, held: Held::Nothing });
+        self.running
+            .insert(id.clone(), Running { started_at: now, resource: HeldResource::Nothing });
         Offer::Start
     }
 
-    /// Refuses a request for a reason found elsewhere, so that a late copy is refused as well.
+    /// Refuses a request for a reason that the caller found, and records its id so that later copies
+    /// are refused as well.
     pub fn refuse(&mut self, now: Time, id: &RequestId, reason: RefuseReason) -> Offer {
-        if let Some(offer) = self.known(id) {
+        if let Some(offer) = self.repeated_offer(id) {
             return offer;
         }
-        self.seen.record(now, id, Fate::Refused);
-        Offer::Refused(self.refusal(reason))
+        self.history.record(now, id, RequestState::Refused);
+        Offer::Refused(self.build_refusal(reason))
     }
 
-    /// Gives back the slot of a running request whose response stays open.
+    /// Releases the slot of a running request whose response is streamed.
     pub fn detach(&mut self, now: Time, id: &RequestId) -> Vec<Action> {
         match self.running.get_mut(id) {
-            Some(running) if running.held == Held::Slot => {
-                running.held = Held::Connection;
-                self.in_slots -= 1;
+            Some(running) if running.resource == HeldResource::Slot => {
+                running.resource = HeldResource::Connection;
+                self.used_slots -= 1;
                 self.streams += 1;
-                self.promote(now)
+                self.start_queued(now)
             }
             _ => Vec::new(),
         }
     }
 
-    /// Ends a started request.
+    /// Releases the resources of a started request that has ended.
     pub fn finish(&mut self, now: Time, id: &RequestId, ending: Ending) -> Vec<Action> {
         let Some(running) = self.running.remove(id) else {
             return Vec::new();
         };
-        match running.held {
-            Held::Slot => {
-                self.in_slots -= 1;
+        match running.resource {
+            HeldResource::Slot => {
+                self.used_slots -= 1;
                 if ending == Ending::Answered {
-                    self.service_time.add(now.saturating_sub(running.since));
+                    self.service_time.add(now.saturating_sub(running.started_at));
                 }
             }
-            Held::Connection => self.streams -= 1,
-            Held::Nothing => {}
+            HeldResource::Connection => self.streams -= 1,
+            HeldResource::Nothing => {}
         }
-        let fate = match ending {
-            Ending::NotRun => Fate::Refused,
-            Ending::Answered | Ending::Failed => Fate::Ended,
+        let state = match ending {
+            Ending::NotRun => RequestState::Refused,
+            Ending::Answered | Ending::Failed => RequestState::Ended,
         };
-        self.seen.change(id, fate);
-        self.promote(now)
+        self.history.set_state(id, state);
+        self.start_queued(now)
     }
 
-    /// Gives up a request. After [`CancelReply::NotStarted`] it is never started.
+    /// Cancels a request. After [`CancelReply::NotStarted`] the request is never started.
     pub fn cancel(&mut self, now: Time, id: &RequestId) -> (CancelReply, Vec<Action>) {
         if self.running.contains_key(id) {
             return (CancelReply::Running, vec![Action::Abort(id.clone())]);
         }
         if let Some(index) = self.queue.iter().position(|queued| queued.id == *id) {
             self.queue.remove(index);
-            self.seen.change(id, Fate::Refused);
-            let refusal = self.refusal(RefuseReason::Duplicate);
+            self.history.set_state(id, RequestState::Refused);
+            let refusal = self.build_refusal(RefuseReason::Duplicate);
             return (CancelReply::NotStarted, vec![Action::Refuse(id.clone(), refusal)]);
         }
-        let reply = match self.seen.fate(id) {
-            // An id that cannot be remembered could still be admitted later.
-            None if !self.seen.record(now, id, Fate::Refused) => CancelReply::Done,
-            None | Some(Fate::Refused) => CancelReply::NotStarted,
-            Some(Fate::Admitted | Fate::Ended | Fate::Forgotten) => CancelReply::Done,
+        let reply = match self.history.state(id) {
+            // An id that cannot be recorded could still be admitted later.
+            None if !self.history.record(now, id, RequestState::Refused) => CancelReply::Done,
+            None | Some(RequestState::Refused) => CancelReply::NotStarted,
+            Some(RequestState::Admitted | RequestState::Ended | RequestState::BelowFloor) => {
+                CancelReply::Done
+            }
         };
         (reply, Vec::new())
     }
 
-    /// Refuses queued requests whose deadline has passed. Due at [`Admission::next_deadline`].
+    /// Refuses queued requests whose deadline has passed. To be called at
+    /// [`Admission::next_deadline`].
     pub fn tick(&mut self, now: Time) -> Vec<Action> {
-        let refusal = self.refusal(RefuseReason::DeadlinePassed);
+        let refusal = self.build_refusal(RefuseReason::DeadlinePassed);
         let mut actions = Vec::new();
-        let seen = &mut self.seen;
+        let history = &mut self.history;
         self.queue.retain(|queued| {
             let keep = queued.deadline > now;
             if !keep {
-                seen.change(&queued.id, Fate::Refused);
+                history.set_state(&queued.id, RequestState::Refused);
                 actions.push(Action::Refuse(queued.id.clone(), refusal));
             }
             keep
@@ -246,12 +265,12 @@
         actions
     }
 
-    /// Refuses new requests from now on. Queued and running ones go on.
+    /// Starts draining: refuses new requests; queued and running requests continue.
     pub fn leave(&mut self) {
         self.leaving = true;
     }
 
-    /// Earliest deadline in the queue.
+    /// Returns the earliest deadline of the queued requests.
     pub fn next_deadline(&self) -> Option<Time> {
         self.queue.iter().map(|queued| queued.deadline).min()
     }
@@ -266,56 +285,62 @@
         self.queue.is_empty() && self.running.is_empty()
     }
 
-    /// Load as announced to entries.
+    /// Returns the current load.
     pub fn load(&self, now: Time) -> Load {
         Load {
             slots: self.usable_slots(),
-            running: self.in_slots,
+            running: self.used_slots,
             streams: self.streams,
             queued: self.queue.len() as u32,
             latency: self.service_time.mean().max(self.mean_age(now)),
         }
     }
 
-    /// Number of ids remembered.
-    pub fn remembered(&self) -> usize {
-        self.seen.len()
+    /// Returns the number of request ids whose state is kept.
+    pub fn history_len(&self) -> usize {
+        self.history.len()
     }
 
-    /// Expected time until a request that arrives now gets a slot.
+    /// Returns the expected time until a request that arrives now gets a slot.
     pub fn expected_wait(&self) -> Duration {
         match self.usable_slots() {
             0 => RETRY_AFTER_UNKNOWN,
-            _ if self.queue.is_empty() && self.has_room() => Duration::ZERO,
+            _ if self.queue.is_empty() && self.has_free_slot() => Duration::ZERO,
             slots => self.service_time.mean() * (self.queue.len() as u32 + 1) / slots,
         }
     }
 
-    fn known(&self, id: &RequestId) -> Option<Offer> {
-        match self.seen.fate(id)? {
-            Fate::Refused => Some(Offer::Refused(self.refusal(RefuseReason::Duplicate))),
-            Fate::Admitted | Fate::Ended | Fate::Forgotten => Some(Offer::Repeated),
+    /// Returns the decision for an id that was recorded before, or `None` for a new id.
+    fn repeated_offer(&self, id: &RequestId) -> Option<Offer> {
+        match self.history.state(id)? {
+            RequestState::Refused => {
+                Some(Offer::Refused(self.build_refusal(RefuseReason::Duplicate)))
+            }
+            RequestState::Admitted | RequestState::Ended | RequestState::BelowFloor => {
+                Some(Offer::Repeated)
+            }
         }
     }
 
-    fn objection(&self, now: Time, deadline: Time) -> Option<Refusal> {
+    /// Returns the refusal of a new request if it cannot be admitted now.
+    fn refusal_for(&self, now: Time, deadline: Time) -> Option<Refusal> {
         let reason = match () {
             () if self.leaving => RefuseReason::Leaving,
             () if deadline <= now => RefuseReason::DeadlinePassed,
-            // With a free slot the request runs even if it is expected to miss its deadline:
-            // otherwise an estimate that is too high could never be corrected.
-            () if self.queue.is_empty() && self.has_room() => return None,
+            // With a free slot the request runs even if the estimate says that it will miss its
+            // deadline. Otherwise an estimate that is too high could never be corrected.
+            () if self.queue.is_empty() && self.has_free_slot() => return None,
             () if self.usable_slots() == 0 => RefuseReason::Overloaded,
             () if self.queue.len() >= self.limits.queue as usize => RefuseReason::Overloaded,
-            () if now + self.expected_wait() + self.service_time.high() > deadline => {
+            () if now + self.expected_wait() + self.service_time.upper_bound() > deadline => {
                 RefuseReason::Overloaded
             }
             () => return None,
         };
-        Some(self.refusal(reason))
+        Some(self.build_refusal(reason))
     }
 
-    fn refusal(&self, reason: RefuseReason) -> Refusal {
+    fn build_refusal(&self, reason: RefuseReason) -> Refusal {
         let retry_after = match reason {
             RefuseReason::Overloaded | RefuseReason::DeadlinePassed => {
                 self.expected_wait().clamp(RETRY_AFTER_MIN, RETRY_AFTER_MAX)
@@ -325,38 +350,39 @@
         Refusal { reason, retry_after }
     }
 
+    /// Returns the slots for which connections are left besides those of streams.
     fn usable_slots(&self) -> u32 {
         self.limits.slots.min(self.limits.connections.saturating_sub(self.streams))
     }
 
-    fn has_room(&self) -> bool {
-        self.in_slots < self.usable_slots()
+    fn has_free_slot(&self) -> bool {
+        self.used_slots < self.usable_slots()
     }
 
-    /// Mean time since the start of the requests in slots. Shows an upstream that hangs, which
-    /// yields no finished request to measure.
+    /// Returns the mean age of the requests that hold a slot. Reveals an upstream that hangs, because
+    /// no request finishes there to yield a service time.
     fn mean_age(&self, now: Time) -> Duration {
-        let ages = self.running.values().filter(|running| running.held == Held::Slot);
-        let sum: Duration = ages.map(|running| now.saturating_sub(running.since)).sum();
-        sum.checked_div(self.in_slots).unwrap_or_default()
+        let ages = self.running.values().filter(|running| running.resource == HeldResource::Slot);
+        let sum: Duration = ages.map(|running| now.saturating_sub(running.started_at)).sum();
+        sum.checked_div(self.used_slots).unwrap_or_default()
     }
 
     fn start(&mut self, now: Time, id: RequestId) {
-        self.in_slots += 1;
-        self.running.insert(id, Running { since: now, held: Held::Slot });
+        self.used_slots += 1;
+        self.running.insert(id, Running { started_at: now, resource: HeldResource::Slot });
     }
 
-    /// Starts queued requests while there is room. One that would end after its deadline is
-    /// refused instead, since its answer would be of no use.
-    fn promote(&mut self, now: Time) -> Vec<Action> {
+    /// Starts queued requests while slots are free. Refuses those expected to miss their deadline,
+    /// because a late answer is useless.
+    fn start_queued(&mut self, now: Time) -> Vec<Action> {
         let mut actions = Vec::new();
-        while self.has_room() {
+        while self.has_free_slot() {
             let Some(Queued { id, deadline }) = self.queue.pop_front() else {
                 break;
             };
             if now + self.service_time.mean() > deadline || deadline <= now {
-                self.seen.change(&id, Fate::Refused);
-                let refusal = self.refusal(RefuseReason::DeadlinePassed);
+                self.history.set_state(&id, RequestState::Refused);
+                let refusal = self.build_refusal(RefuseReason::DeadlinePassed);
                 actions.push(Action::Refuse(id, refusal));
                 continue;
             }
--- a/crates/core/src/tasks.rs
+++ b/crates/core/src/tasks.rs
@@ -1,10 +1,15 @@
-//! Attempts on one VM.
+//! State machine of the agent on one VM: the task attempts on its worker, their leases and results.
 //!
-//! The caller claims the worker when [`Tasks::claim_request`] says so, and hands the reply to
-//! [`Tasks::claimed`]. It performs the actions that [`Tasks::actions`] returns, asks
-//! [`Tasks::begin`] just before each effect, and hands back what came of it with
-//! [`Tasks::performed`]. It lists the worker's tasks with [`Tasks::listed`], and sends
-//! [`Tasks::report`] to the cell's owner, whose reply goes to [`Tasks::obey`].
+//! The owner of a cell schedules the tasks of its jobs on the agents' VMs. The worker is the platform
+//! process that runs tasks on a VM. An attempt is one execution of a task, identified by a fencing
+//! token that consists of the owner's epoch and a number. The module does no I/O; its caller:
+//!
+//! 1. claims the worker when [`Tasks::claim_request`] returns a request, and passes the reply to
+//!    [`Tasks::claimed`];
+//! 2. lists the worker's tasks and passes the list to [`Tasks::apply_list`];
+//! 3. performs the actions from [`Tasks::actions`], asks [`Tasks::begin`] just before each, and
+//!    passes each result to [`Tasks::record_result`];
+//! 4. sends [`Tasks::report`] to the cell's owner and passes the reply to [`Tasks::apply_orders`].
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -18,28 +23,29 @@
     AttemptId, Outcome, Report, RunningTask, StartOrder, TaskResult, Token,
 };
 use crate::resources::Resources;
-use crate::tasks::worker::{Claim, ClaimWorker, Claimed, StartTask, TaskLease};
+use crate::tasks::worker::{Claim, ClaimReply, ClaimRequest, StartTask, TaskLease};
 use crate::time::Time;
 
-mod effects;
+mod actions;
 mod listing;
 mod orders;
 pub mod worker;
 
-/// Age of the worker's last list above which nothing is admitted.
-const LIST_MAX_AGE: Duration = Duration::from_secs(5);
-/// Time for which tokens and usage of ended tasks are remembered.
-const MEMORY: Duration = Duration::from_secs(15 * 60);
-/// Time after which an unconfirmed stop is repeated.
-const STOP_REPEAT: Duration = Duration::from_secs(1);
-/// Results, and bytes of their checkpoints, in one report. The rest follows in later reports.
-const RESULTS_PER_REPORT: usize = 512;
-const RESULT_BYTES_PER_REPORT: usize = 512 * 1024;
-
-/// A task, whichever attempt runs it.
+/// Age of the worker's last task list above which no start is admitted.
+const MAX_LIST_AGE: Duration = Duration::from_secs(5);
+/// Time for which the token and usage of a task are kept after its last attempt ended.
+const HISTORY_RETENTION: Duration = Duration::from_secs(15 * 60);
+/// Interval at which a stop or checkpoint is repeated until the attempt has ended.
+const STOP_RETRY_INTERVAL: Duration = Duration::from_secs(1);
+/// Maximum results in one report. The rest follows in later reports.
+const MAX_RESULTS: usize = 512;
+/// Maximum total size of the checkpoints and reasons in the results of one report, in bytes.
+const MAX_RESULT_BYTES: usize = 512 * 1024;
+
+/// Identifies a task independently of its attempts.
 pub type TaskKey = (JobId, TaskIndex);
 
-/// Who reports.
+/// Identity of the agent in its reports.
 #[derive(Debug, Clone)]
 pub struct Identity {
     pub agent: AgentId,
@@ -48,37 +54,38 @@
     pub rack: String,
 }
 
-/// An effect on the worker.
+/// Request to the worker that the caller has to send.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     Start(StartTask),
     Renew {
         instance: u64,
         leases: Vec<TaskLease>,
-        /// Ends of the leases on the agent's clock.
+        /// Ends of the leases on the agent's clock, in the order of `leases`.
         until: Vec<Time>,
     },
-    /// Takes a checkpoint and ends the task there.
+    /// Takes a checkpoint and ends the task at it.
     Checkpoint(AttemptId),
     Stop(AttemptId),
+    /// Sets the CPU speed of a task, in percent.
     Throttle(AttemptId, u8),
-    /// Removes an acknowledged result.
+    /// Deletes a result that the owner has acknowledged.
     Remove(AttemptId),
 }
 
-/// What came of an action.
+/// Result of an action on the worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Effect {
+pub enum ActionResult {
     Done,
-    /// The worker refused it; it had no effect.
+    /// The worker refused the request; it had no effect.
     Refused(String),
-    /// It certainly did not reach the worker.
+    /// The request was not sent, so it had no effect.
     NotSent,
-    /// It may or may not have had an effect, now or later.
+    /// The request may have had an effect, or may still have one later.
     Unknown,
 }
 
-/// A transition, for the log.
+/// State transition to be logged.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
     pub name: &'static str,
@@ -86,127 +93,151 @@
     pub detail: String,
 }
 
+/// Reason for stopping an attempt. Decides whether its result is a stop or an eviction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Cause {
-    /// The owner ordered it, or a newer attempt waits.
+enum StopCause {
+    /// The owner ordered the stop, or a newer attempt supersedes this one.
     Ordered,
-    /// The agent decided it.
+    /// The agent decided to stop the attempt.
     Evicted,
 }
 
+/// Phase of an attempt on the worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
-    /// Admitted; `sent` once a start may have reached the worker.
+    /// Admitted, but not confirmed by the worker.
     Starting {
+        /// Set before the start is first sent to the worker.
         sent: bool,
     },
     Running,
     Stopping {
-        cause: Cause,
+        cause: StopCause,
+        /// Take a checkpoint before the attempt ends.
         checkpoint: bool,
-        /// Last try, and whether the worker accepted a stop.
-        tried: Option<Time>,
-        accepted: Option<Time>,
+        /// Time at which a stop or checkpoint was last sent.
+        tried_at: Option<Time>,
+        /// Time at which the worker first accepted a stop.
+        accepted_at: Option<Time>,
     },
 }
 
+/// State of an attempt that has not ended.
 #[derive(Debug, Clone)]
 struct Attempt {
+    /// Start order of the owner; `None` for an attempt adopted from the worker's list.
     order: Option<StartOrder>,
     class: String,
     phase: Phase,
+    /// End of the lease that the owner has granted.
     lease_until: Time,
-    /// End of the lease that the worker has confirmed.
+    /// End of the lease in the last renewal that the worker confirmed.
     renewed_until: Time,
-    /// Set once the worker has confirmed that the task exists.
-    confirmed: Option<Time>,
-    /// An earlier start may still reach the worker.
-    in_doubt: bool,
+    /// Time at which the worker first confirmed that the task exists.
+    confirmed_at: Option<Time>,
+    /// The result of a start request is unknown, so the request may still reach the worker.
+    start_unconfirmed: bool,
+    /// Latest checkpoint: the one the attempt started from, or a later one.
     checkpoint: Option<Bytes>,
+    /// Last measured usage; zero before the first measurement.
     measured: Resources,
+    /// CPU speed that is in effect on the worker, in percent.
     worker_speed: u8,
 }
 
+/// Start order that waits until an older attempt of the same task has ended.
 #[derive(Debug, Clone)]
-struct Waiting {
+struct WaitingStart {
     order: StartOrder,
     lease_until: Time,
 }
 
+/// Highest token and last usage of a task. Rejects duplicate and old starts, and gives a later
+/// attempt the measured usage.
 #[derive(Debug, Clone)]
-struct Memory {
+struct TaskHistory {
     token: Token,
     measured: Resources,
-    touched: Time,
+    updated_at: Time,
 }
 
-/// The report whose reply is awaited.
+/// Report that the owner has not answered yet.
 #[derive(Debug, Clone)]
-struct Outstanding {
+struct PendingReport {
     sequence: u64,
     sent_at: Time,
+    /// Attempts in the report, whose leases the reply extends.
     attempts: BTreeSet<AttemptId>,
 }
 
+/// Reading of the worker's clock in its last task list.
 #[derive(Debug, Clone, Copy)]
 struct WorkerClock {
     instance: u64,
     now_ms: u64,
+    /// Time on the agent's clock at which the list arrived.
     received_at: Time,
 }
 
 impl WorkerClock {
-    /// Translates a time to the worker's clock, never to a later moment.
-    fn translate(&self, at: Time) -> u64 {
+    /// Converts a time of the agent's clock to milliseconds of the worker's clock. The result is never
+    /// later than the given time.
+    fn worker_ms_at(&self, at: Time) -> u64 {
         let ahead = at.saturating_sub(self.received_at).as_millis() as u64;
         let behind = self.received_at.saturating_sub(at).as_millis() as u64;
         (self.now_ms + ahead).saturating_sub(behind)
     }
 }
 
-/// All attempts on one VM.
+/// State of all attempts on one VM.
 #[derive(Debug)]
 pub struct Tasks {
     identity: Identity,
     ledger: Ledger,
-    /// Highest epoch of the cell that was seen.
+    /// Highest epoch of the cell in orders, claim replies and task tokens. Owners with a lower epoch
+    /// are rejected.
     epoch: Epoch,
-    /// Epoch that the worker keeps for a successor of this process. Grants of a higher one are not
-    /// obeyed yet.
-    kept_epoch: Epoch,
+    /// Epoch that the worker stores for the next process of this agent. Starts and leases of a higher
+    /// epoch are not accepted until the worker stores it.
+    worker_epoch: Epoch,
+    /// Number of the last report.
     sequence: u64,
-    /// Last challenge of an owner.
+    /// Last challenge of an owner. The next report echoes it to prove that it is recent.
     challenge: u64,
-    outstanding: Option<Outstanding>,
+    pending_report: Option<PendingReport>,
     claim: Option<Claim>,
+    /// `None` until the worker's tasks have been listed.
     clock: Option<WorkerClock>,
     attempts: BTreeMap<AttemptId, Attempt>,
-    /// Newer attempts that wait until an older one is gone.
-    waiting: BTreeMap<TaskKey, Waiting>,
+    /// Start orders that wait until an older attempt of their task has ended.
+    waiting: BTreeMap<TaskKey, WaitingStart>,
+    /// Results that the owner has not acknowledged.
     results: BTreeMap<AttemptId, Outcome>,
-    /// Committed by the owner, but still kept by the worker.
+    /// Attempts whose result the owner has committed but the worker may still keep.
     acknowledged: BTreeSet<AttemptId>,
+    /// Acknowledged attempts whose result the worker keeps according to its last list.
     removable: BTreeSet<AttemptId>,
-    memory: BTreeMap<TaskKey, Memory>,
-    /// Speed and admission of classes, as decided by colocation.
+    history: BTreeMap<TaskKey, TaskHistory>,
+    /// CPU speed of each throttled class in percent, set by the colocation controller.
     class_speeds: BTreeMap<String, u8>,
-    held_classes: BTreeSet<String>,
+    /// Classes that the colocation controller does not admit.
+    blocked_classes: BTreeSet<String>,
     draining: bool,
     events: Vec<Event>,
 }
 
 impl Tasks {
-    /// Builds the state of an agent that knows nothing of its worker yet. `lag` is the lag of
-    /// usage measurements.
+    /// Creates the state of an agent that has not listed its worker's tasks. `lag` is the delay with
+    /// which measurements show a change of usage.
     pub fn new(identity: Identity, lag: Duration) -> Self {
         Tasks {
             identity,
             ledger: Ledger::new(Resources::default(), lag),
             epoch: 0,
-            kept_epoch: 0,
+            worker_epoch: 0,
             sequence: 0,
             challenge: 0,
-            outstanding: None,
+            pending_report: None,
             claim: None,
             clock: None,
             attempts: BTreeMap::new(),
@@ -214,45 +245,46 @@
             results: BTreeMap::new(),
             acknowledged: BTreeSet::new(),
             removable: BTreeSet::new(),
-            memory: BTreeMap::new(),
+            history: BTreeMap::new(),
             class_speeds: BTreeMap::new(),
-            held_classes: BTreeSet::new(),
+            blocked_classes: BTreeSet::new(),
             draining: false,
             events: Vec::new(),
         }
     }
 
-    /// Highest epoch of the cell that was seen.
+    /// Returns the highest known epoch of the cell.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
 
-    /// The capacity ledger.
+    /// Returns the ledger of the VM's reserved capacity.
     pub fn ledger(&self) -> &Ledger {
         &self.ledger
     }
 
-    /// Returns the claim to make before the worker's tasks are listed: when there is none, and when
-    /// the worker does not keep the epoch that was seen.
-    pub fn claim_request(&self) -> Option<ClaimWorker> {
-        let due = self.claim.is_none() || self.kept_epoch < self.epoch;
-        due.then_some(ClaimWorker { keep: self.claim, epoch: self.epoch })
+    /// Returns the claim request that has to precede the next list: while there is no claim, or while
+    /// the worker stores a lower epoch than the highest known one.
+    pub fn claim_request(&self) -> Option<ClaimRequest> {
+        let due = self.claim.is_none() || self.worker_epoch < self.epoch;
+        due.then_some(ClaimRequest { keep: self.claim, epoch: self.epoch })
     }
 
     /// Records the reply to a claim.
-    pub fn claimed(&mut self, claimed: Claimed) {
+    pub fn claimed(&mut self, claimed: ClaimReply) {
         self.claim = Some(claimed.claim);
-        self.kept_epoch = claimed.epoch;
+        self.worker_epoch = claimed.epoch;
         self.epoch = self.epoch.max(claimed.epoch);
     }
 
-    /// Records that the worker refused to keep the claim: another agent or instance has it.
+    /// Records that the worker refused to confirm the claim, because another agent has claimed the
+    /// worker or the worker has restarted.
     pub fn claim_refused(&mut self) {
         self.event("claim_lost", None, "refused".into());
         self.claim = None;
     }
 
-    /// Tells whether the worker's tasks are known, so that reports and starts are allowed.
+    /// Tells whether the worker's tasks have been listed. Reports and starts are allowed only then.
     pub fn is_adopted(&self) -> bool {
         self.clock.is_some()
     }
@@ -262,17 +294,17 @@
         self.attempts.is_empty() && self.waiting.is_empty() && self.results.is_empty()
     }
 
-    /// Number of attempts that run or are being started or stopped.
+    /// Returns the number of attempts that are starting, running or stopping.
     pub fn attempt_count(&self) -> usize {
         self.attempts.len()
     }
 
-    /// Number of results that are not acknowledged yet.
+    /// Returns the number of results that the owner has not acknowledged.
     pub fn result_count(&self) -> usize {
         self.results.len()
     }
 
-    /// Running attempts with class, urgency and measured usage.
+    /// Returns the running attempts with their class and measured usage.
     pub fn running(&self) -> impl Iterator<Item = (&AttemptId, &str, &Resources)> {
         self.attempts
             .iter()
@@ -280,57 +312,57 @@
             .map(|(id, attempt)| (id, attempt.class.as_str(), &attempt.measured))
     }
 
-    /// Takes the transitions since the last call.
+    /// Returns and clears the transitions since the last call.
     pub fn take_events(&mut self) -> Vec<Event> {
         std::mem::take(&mut self.events)
     }
 
-    /// Sets the limits in effect.
+    /// Sets the capacity limits in effect.
     pub fn set_limits(&mut self, limits: Limits) {
         self.ledger.set_limits(limits);
     }
 
-    /// Sets the speed of classes (100 if absent) and the classes that are not admitted.
-    pub fn set_colocation(&mut self, speeds: BTreeMap<String, u8>, held: BTreeSet<String>) {
+    /// Sets the CPU speeds of classes in percent (100 if absent) and the classes not to admit.
+    pub fn set_colocation(&mut self, speeds: BTreeMap<String, u8>, blocked: BTreeSet<String>) {
         self.class_speeds = speeds;
-        self.held_classes = held;
+        self.blocked_classes = blocked;
     }
 
-    /// Evicts the newest running task of a class; tells whether there was one.
+    /// Evicts the most recently started running task of a class; tells whether there was one.
     pub fn evict_newest(&mut self, class: &str) -> bool {
         let newest = self
             .attempts
             .iter()
             .filter(|(_, attempt)| attempt.phase == Phase::Running && attempt.class == class)
-            .max_by_key(|(_, attempt)| attempt.confirmed)
+            .max_by_key(|(_, attempt)| attempt.confirmed_at)
             .map(|(id, _)| id.clone());
         match newest {
             Some(id) => {
-                self.stop_attempt(&id, Cause::Evicted, true, "interference");
+                self.stop_attempt(&id, StopCause::Evicted, true, "interference");
                 true
             }
             None => false,
         }
     }
 
-    /// Refuses new starts and hands all attempts back with a checkpoint.
+    /// Starts draining: refuses new starts and evicts all attempts with a checkpoint.
     pub fn drain(&mut self) {
         if !self.draining {
             self.draining = true;
             self.event("drain_started", None, format!("attempts={}", self.attempts.len()));
         }
         for (_, waiting) in std::mem::take(&mut self.waiting) {
-            self.refuse(waiting.order.attempt, "the agent is leaving".into());
+            self.refuse(waiting.order.attempt, "the agent is draining".into());
         }
         let ids: Vec<AttemptId> = self.attempts.keys().cloned().collect();
         for id in ids {
-            self.stop_attempt(&id, Cause::Evicted, true, "drain");
+            self.stop_attempt(&id, StopCause::Evicted, true, "drain");
         }
     }
 
-    /// Builds the next report, to be sent at once; the lease in its reply counts from `now`.
-    /// `None` while the worker's tasks are not known: a report without them would tell the owner
-    /// that they are gone.
+    /// Returns the next report, which has to be sent at once: the lease in its reply starts at `now`.
+    /// Returns `None` until the worker's tasks are listed, because the owner would conclude from a
+    /// report without them that they have ended.
     pub fn report(&mut self, now: Time, pressure_percent: u32) -> Option<Report> {
         self.clock?;
         self.sequence += 1;
@@ -338,13 +370,14 @@
         let mut running: Vec<RunningTask> =
             self.attempts.iter().map(|(id, attempt)| self.running_task(id, attempt)).collect();
         let waiting = self.waiting.values().map(|waiting| &waiting.order.attempt);
-        // A result that does not fit yet is reported as running, so that it is not taken as lost.
+        // An attempt whose result does not fit is reported as running. The owner would consider an
+        // attempt that is missing from the report as lost.
         running.extend(waiting.chain(&delayed).map(|id| RunningTask {
             attempt: id.clone(),
             measured: Resources::default(),
             speed_percent: 0,
         }));
-        self.outstanding = Some(Outstanding {
+        self.pending_report = Some(PendingReport {
             sequence: self.sequence,
             sent_at: now,
             attempts: running.iter().map(|task| task.attempt.clone()).collect(),
@@ -357,8 +390,9 @@
             rack: self.identity.rack.clone(),
             sequence: self.sequence,
             state: if self.draining { AgentState::Leaving } else { AgentState::Ready },
-            // The owner takes this as a promise that also outlives this process.
-            epoch: self.kept_epoch,
+            // The owner relies on this epoch even after a restart of the agent, so it is the one
+            // that the worker stores.
+            epoch: self.worker_epoch,
             batch_capacity: self.ledger.batch_capacity(),
             free: self.ledger.free(),
             urgent_free: self.ledger.urgent_free(),
@@ -376,6 +410,7 @@
         }
     }
 
+    /// Returns the results that fit into one report, and the attempts whose results have to wait.
     fn reported_results(&self) -> (Vec<TaskResult>, Vec<AttemptId>) {
         let mut bytes = 0;
         let mut results = Vec::new();
@@ -383,8 +418,7 @@
         for (id, outcome) in &self.results {
             bytes += outcome_bytes(outcome);
             let first = results.is_empty();
-            match results.len() < RESULTS_PER_REPORT && (first || bytes <= RESULT_BYTES_PER_REPORT)
-            {
+            match results.len() < MAX_RESULTS && (first || bytes <= MAX_RESULT_BYTES) {
                 true => results.push(TaskResult { attempt: id.clone(), outcome: outcome.clone() }),
                 false => delayed.push(id.clone()),
             }
@@ -396,16 +430,18 @@
         self.events.push(Event { name, attempt: attempt.cloned(), detail });
     }
 
+    /// Records that a start order was refused.
     fn refuse(&mut self, id: AttemptId, reason: String) {
         self.event("start_refused", Some(&id), reason.clone());
         self.results.entry(id).or_insert(Outcome::Refused { reason });
     }
 
-    /// Ends an attempt that certainly does not run and will not run.
+    /// Records the outcome of an attempt that is known neither to run nor to start later, and releases
+    /// its reservation.
     fn finish(&mut self, now: Time, id: &AttemptId, outcome: Outcome) {
         self.ledger.release(id);
         if let Some(attempt) = self.attempts.remove(id) {
-            self.remember(now, id, attempt.measured);
+            self.record_history(now, id, attempt.measured);
         }
         self.event("attempt_ended", Some(id), outcome_name(&outcome).into());
         if !self.acknowledged.contains(id) {
@@ -413,18 +449,20 @@
         }
     }
 
-    fn remember(&mut self, now: Time, id: &AttemptId, measured: Resources) {
-        let fresh = Memory { token: id.token, measured: Resources::default(), touched: now };
-        let memory = self.memory.entry((id.job.clone(), id.task)).or_insert(fresh);
-        memory.token = memory.token.max(id.token);
-        memory.touched = now;
+    /// Updates the highest token and, unless zero, the usage of a task.
+    fn record_history(&mut self, now: Time, id: &AttemptId, measured: Resources) {
+        let new_history =
+            TaskHistory { token: id.token, measured: Resources::default(), updated_at: now };
+        let history = self.history.entry((id.job.clone(), id.task)).or_insert(new_history);
+        history.token = history.token.max(id.token);
+        history.updated_at = now;
         if !measured.is_zero() {
-            memory.measured = measured;
+            history.measured = measured;
         }
     }
 
-    /// Begins to stop an attempt; a start that was not sent yet ends at once.
-    fn stop_attempt(&mut self, id: &AttemptId, cause: Cause, checkpoint: bool, reason: &str) {
+    /// Starts to stop an attempt. An attempt whose start was never sent ends immediately.
+    fn stop_attempt(&mut self, id: &AttemptId, cause: StopCause, checkpoint: bool, reason: &str) {
         let Some(attempt) = self.attempts.get_mut(id) else { return };
         match &mut attempt.phase {
             Phase::Starting { sent: false } => {
@@ -434,17 +472,19 @@
                 self.event("attempt_ended", Some(id), format!("not started: {reason}"));
                 self.results.entry(id.clone()).or_insert(Outcome::Stopped { checkpoint });
             }
-            Phase::Stopping { cause: known, .. } if cause == Cause::Ordered => *known = cause,
+            Phase::Stopping { cause: current_cause, .. } if cause == StopCause::Ordered => {
+                *current_cause = cause
+            }
             Phase::Stopping { .. } => {}
             phase => {
-                *phase = Phase::Stopping { cause, checkpoint, tried: None, accepted: None };
+                *phase = Phase::Stopping { cause, checkpoint, tried_at: None, accepted_at: None };
                 self.ledger.mark_stopping(id);
                 self.event("attempt_stopping", Some(id), reason.into());
             }
         }
     }
 
-    /// Attempts of the same task with an older token.
+    /// Returns the attempts of the same task with an older token.
     fn older_attempts(&self, id: &AttemptId) -> Vec<AttemptId> {
         let first = AttemptId { job: id.job.clone(), task: id.task, token: Token::default() };
         self.attempts.range(first..id.clone()).map(|(older, _)| older.clone()).collect()
@@ -461,6 +501,7 @@
     }
 }
 
+/// Returns the size of the checkpoint or reason in an outcome, in bytes.
 fn outcome_bytes(outcome: &Outcome) -> usize {
     match outcome {
         Outcome::Evicted { checkpoint } | Outcome::Stopped { checkpoint } => {
--- a/crates/core/src/tasks/effects.rs
+++ b/crates/core/src/tasks/actions.rs
@@ -1,4 +1,4 @@
-//! Effects on the worker.
+//! Actions on the worker, and the processing of their results.
 
 use bytes::Bytes;
 
@@ -7,18 +7,20 @@
 use crate::tasks::worker::{Claim, StartTask, TaskLease};
 use crate::time::Time;
 
-use super::{Action, Attempt, Cause, Effect, Phase, Tasks, WorkerClock, STOP_REPEAT};
+use super::{
+    Action, ActionResult, Attempt, Phase, StopCause, Tasks, WorkerClock, STOP_RETRY_INTERVAL,
+};
 
 impl Tasks {
-    /// Returns the effects that are due. Those that fail are returned again by later calls.
+    /// Returns the actions that are due. A later call returns an action again if it failed.
     pub fn actions(&mut self, now: Time) -> Vec<Action> {
         let Some(clock) = self.clock else { return Vec::new() };
         self.admit_waiting(now);
-        self.expire(now);
+        self.expire_leases(now);
         for relief in self.ledger.enforce_limits(now) {
-            self.enforce_limits(relief);
+            self.apply_relief(relief);
         }
-        // Leases first: a slow worker must not let them end.
+        // Renewals come first, so that leases do not expire while a slow worker handles the rest.
         let mut actions: Vec<Action> = self.renew_action(now, &clock).into_iter().collect();
         for (id, attempt) in &self.attempts {
             actions.extend(self.stop_action(now, id, attempt));
@@ -33,9 +35,9 @@
         actions
     }
 
-    /// Tells whether an action may still be performed, and records that it is about to be.
-    /// Called just before the effect, because the process may have been paused since the
-    /// decision.
+    /// Tells whether an action is still allowed, and if so records that it is about to be sent.
+    /// Has to be called just before the request, because a lease may have expired while the process
+    /// was paused.
     pub fn begin(&mut self, now: Time, action: &Action) -> bool {
         match action {
             Action::Start(start) => match self.attempts.get_mut(&start.attempt) {
@@ -53,8 +55,8 @@
             }),
             Action::Checkpoint(id) | Action::Stop(id) => match self.attempts.get_mut(id) {
                 Some(attempt) => {
-                    if let Phase::Stopping { tried, .. } = &mut attempt.phase {
-                        *tried = Some(now);
+                    if let Phase::Stopping { tried_at, .. } = &mut attempt.phase {
+                        *tried_at = Some(now);
                     }
                     true
                 }
@@ -65,61 +67,66 @@
         }
     }
 
-    /// Takes the result of an action. A checkpoint is given with [`Tasks::checkpointed`].
-    pub fn performed(&mut self, now: Time, action: &Action, effect: Effect) {
+    /// Records the result of an action. A checkpoint that was taken is recorded with
+    /// [`Tasks::record_checkpoint`].
+    pub fn record_result(&mut self, now: Time, action: &Action, effect: ActionResult) {
         match (action, effect) {
-            (Action::Start(start), Effect::Done) => self.started(now, &start.attempt),
-            (Action::Start(start), Effect::Refused(reason)) => {
-                self.start_refused(now, &start.attempt, reason);
+            (Action::Start(start), ActionResult::Done) => self.mark_running(now, &start.attempt),
+            (Action::Start(start), ActionResult::Refused(reason)) => {
+                self.refuse_start(now, &start.attempt, reason);
             }
-            (Action::Start(start), Effect::Unknown) => {
+            (Action::Start(start), ActionResult::Unknown) => {
                 if let Some(attempt) = self.attempts.get_mut(&start.attempt) {
-                    attempt.in_doubt = true;
+                    attempt.start_unconfirmed = true;
                 }
             }
-            (Action::Renew { leases, until, .. }, Effect::Done) => self.renewed(leases, until),
-            (Action::Stop(id), Effect::Done) => self.stop_accepted(now, id),
-            // Without a checkpoint the task is stopped plainly, which also bars a late start.
-            (Action::Checkpoint(id), Effect::Refused(_)) => self.checkpoint_failed(id),
-            (Action::Throttle(id, percent), Effect::Done) => {
+            (Action::Renew { leases, until, .. }, ActionResult::Done) => {
+                self.record_renewal(leases, until)
+            }
+            (Action::Stop(id), ActionResult::Done) => self.record_stop(now, id),
+            // Stops the task without a checkpoint. The stop also makes the worker reject a start that
+            // arrives late.
+            (Action::Checkpoint(id), ActionResult::Refused(_)) => self.skip_checkpoint(id),
+            (Action::Throttle(id, percent), ActionResult::Done) => {
                 if let Some(attempt) = self.attempts.get_mut(id) {
                     attempt.worker_speed = *percent;
                 }
                 self.event("attempt_throttled", Some(id), format!("speed_percent={percent}"));
             }
-            (Action::Remove(id), Effect::Done) => {
+            (Action::Remove(id), ActionResult::Done) => {
                 self.removable.remove(id);
             }
             _ => {}
         }
     }
 
-    /// Records the checkpoint at which the worker ends a task.
-    pub fn checkpointed(&mut self, id: &AttemptId, checkpoint: Bytes) {
+    /// Records the checkpoint that the worker took to end a task.
+    pub fn record_checkpoint(&mut self, id: &AttemptId, checkpoint: Bytes) {
         if let Some(attempt) = self.attempts.get_mut(id) {
             attempt.checkpoint = Some(checkpoint);
         }
     }
 
-    fn started(&mut self, now: Time, id: &AttemptId) {
+    fn mark_running(&mut self, now: Time, id: &AttemptId) {
         let Some(attempt) = self.attempts.get_mut(id) else { return };
-        attempt.confirmed.get_or_insert(now);
+        attempt.confirmed_at.get_or_insert(now);
         if let Phase::Starting { .. } = attempt.phase {
             attempt.phase = Phase::Running;
             self.event("attempt_started", Some(id), String::new());
         }
     }
 
-    fn start_refused(&mut self, now: Time, id: &AttemptId, reason: String) {
+    fn refuse_start(&mut self, now: Time, id: &AttemptId, reason: String) {
         let Some(attempt) = self.attempts.get(id) else { return };
-        // An earlier try may have started it, and the task may have ended since.
-        if attempt.confirmed.is_some() {
+        // An earlier request may have started the task, which may have ended since.
+        if attempt.confirmed_at.is_some() {
             return;
         }
-        // An earlier try may still arrive: its lease can end later on the worker's clock, because
-        // each list gives another lower bound of that clock. Only a stop bars it.
-        if attempt.in_doubt {
-            return self.stop_attempt(id, Cause::Ordered, false, &reason);
+        // An earlier start request may still arrive, and its lease may end later on the worker's clock,
+        // because each list yields a different lower bound of that clock. Only a stop makes the
+        // worker reject that request.
+        if attempt.start_unconfirmed {
+            return self.stop_attempt(id, StopCause::Ordered, false, &reason);
         }
         let checkpoint = attempt.checkpoint.clone();
         let outcome = match attempt.phase {
@@ -129,7 +136,8 @@
         self.finish(now, id, outcome);
     }
 
-    fn renewed(&mut self, leases: &[TaskLease], until: &[Time]) {
+    /// Records the lease ends of a renewal that the worker confirmed.
+    fn record_renewal(&mut self, leases: &[TaskLease], until: &[Time]) {
         for (lease, until) in leases.iter().zip(until) {
             if let Some(attempt) = self.attempts.get_mut(&lease.attempt) {
                 attempt.renewed_until = attempt.renewed_until.max(*until);
@@ -137,24 +145,25 @@
         }
     }
 
-    fn stop_accepted(&mut self, now: Time, id: &AttemptId) {
+    fn record_stop(&mut self, now: Time, id: &AttemptId) {
         let phase = self.attempts.get_mut(id).map(|attempt| &mut attempt.phase);
-        if let Some(Phase::Stopping { accepted, .. }) = phase {
-            accepted.get_or_insert(now);
+        if let Some(Phase::Stopping { accepted_at, .. }) = phase {
+            accepted_at.get_or_insert(now);
         }
     }
 
-    fn checkpoint_failed(&mut self, id: &AttemptId) {
+    /// Continues a stop without the checkpoint that the worker refused to take.
+    fn skip_checkpoint(&mut self, id: &AttemptId) {
         let phase = self.attempts.get_mut(id).map(|attempt| &mut attempt.phase);
-        if let Some(Phase::Stopping { checkpoint, tried, .. }) = phase {
+        if let Some(Phase::Stopping { checkpoint, tried_at, .. }) = phase {
             *checkpoint = false;
-            *tried = None;
+            *tried_at = None;
         }
     }
 
-    /// Ends starts whose lease ran out before they were sent, and stops what the worker should
-    /// have stopped by itself.
-    fn expire(&mut self, now: Time) {
+    /// Refuses starts whose lease expired before they were sent, and evicts running attempts whose lease
+    /// has expired. The worker should have stopped those already.
+    fn expire_leases(&mut self, now: Time) {
         let expired: Vec<(AttemptId, Phase)> = self
             .attempts
             .iter()
@@ -164,25 +173,26 @@
         for (id, phase) in expired {
             match phase {
                 Phase::Starting { sent: false } => {
-                    let reason = "the lease ended before the start".to_owned();
+                    let reason = "the lease expired before the start".to_owned();
                     self.finish(now, &id, Outcome::Refused { reason });
                 }
-                Phase::Running => self.stop_attempt(&id, Cause::Evicted, true, "lease ended"),
+                Phase::Running => self.stop_attempt(&id, StopCause::Evicted, true, "lease expired"),
                 _ => {}
             }
         }
     }
 
-    fn enforce_limits(&mut self, relief: LimitAction) {
+    fn apply_relief(&mut self, relief: LimitAction) {
         match relief {
             LimitAction::Evict(id) => {
-                self.stop_attempt(&id, Cause::Evicted, true, "usage exceeds the VM's capacity");
+                self.stop_attempt(&id, StopCause::Evicted, true, "usage exceeds the VM's capacity");
             }
             LimitAction::Throttle(id) => self.event("growth_throttled", Some(&id), String::new()),
             LimitAction::Restore(id) => self.event("growth_restored", Some(&id), String::new()),
         }
     }
 
+    /// Returns the CPU speed that an attempt should have, in percent.
     fn speed(&self, id: &AttemptId, attempt: &Attempt) -> u8 {
         let class = self.class_speeds.get(&attempt.class).copied().unwrap_or(100);
         class.min(self.ledger.speed(id))
@@ -190,7 +200,7 @@
 
     fn stop_action(&self, now: Time, id: &AttemptId, attempt: &Attempt) -> Option<Action> {
         match attempt.phase {
-            Phase::Stopping { tried: Some(at), .. } if now < at + STOP_REPEAT => None,
+            Phase::Stopping { tried_at: Some(at), .. } if now < at + STOP_RETRY_INTERVAL => None,
             Phase::Stopping { checkpoint: true, .. } => Some(Action::Checkpoint(id.clone())),
             Phase::Stopping { .. } => Some(Action::Stop(id.clone())),
             _ => None,
@@ -206,7 +216,7 @@
         let due = self.attempts.iter().filter(|(_, attempt)| due(attempt));
         let (leases, until): (Vec<TaskLease>, Vec<Time>) = due
             .map(|(id, attempt)| {
-                let valid_until_ms = clock.translate(attempt.lease_until);
+                let valid_until_ms = clock.worker_ms_at(attempt.lease_until);
                 (TaskLease { attempt: id.clone(), valid_until_ms }, attempt.lease_until)
             })
             .unzip();
@@ -232,7 +242,7 @@
         let order = attempt.order.as_ref().filter(|_| starting && now < attempt.lease_until)?;
         Some(Action::Start(StartTask {
             claim,
-            valid_until_ms: clock.translate(attempt.lease_until),
+            valid_until_ms: clock.worker_ms_at(attempt.lease_until),
             attempt: id.clone(),
             team: order.team.clone(),
             class: order.class.clone(),
--- a/crates/core/tests/composed/world.rs
+++ b/crates/core/tests/composed/world.rs
@@ -471,7 +471,7 @@
         let Answer { incarnation, orders, .. } = answer;
         let sequence = agent.sequence;
         let is_latest = orders.sequence == sequence;
-        agent.tasks.obey(clock, orders);
+        agent.tasks.apply_orders(clock, orders);
         agent.tasks.take_events();
         let is_expected = is_latest && !state.answered;
         state.answered |= is_expected;
--- a/crates/core/tests/support/machine.rs
+++ b/crates/core/tests/support/machine.rs
@@ -8,7 +8,7 @@
 use peridotfold_core::ledger::Limits;
 use peridotfold_core::resources::Resources;
 use peridotfold_core::tasks::worker::WorkerList;
-use peridotfold_core::tasks::{Action, Effect, Identity, Tasks};
+use peridotfold_core::tasks::{Action, ActionResult, Identity, Tasks};
 use peridotfold_core::time::Time;
 
 use crate::model_worker::{ModelWorker, CAPACITY};
@@ -180,14 +180,14 @@
                 (Cycle::Listed { requested_at, list }, false)
             }
             Cycle::Listed { requested_at, list } => {
-                agent.tasks.listed(requested_at, clock, &list);
+                agent.tasks.apply_list(requested_at, clock, &list);
                 let mut actions = agent.tasks.actions(clock);
                 actions.reverse();
                 (Cycle::Performing { actions }, true)
             }
             Cycle::Performing { actions } => self.perform_next(now, actions, rates, rng),
             Cycle::Waiting { action, until, remaining } if clock >= until => {
-                agent.tasks.performed(clock, &action, Effect::Unknown);
+                agent.tasks.record_result(clock, &action, ActionResult::Unknown);
                 (Cycle::Performing { actions: remaining }, true)
             }
             waiting => (waiting, false),
@@ -219,7 +219,7 @@
         let roll = rng.u8(..100);
         let (not_sent, late) = (rates.not_sent, rates.not_sent + rates.late);
         match roll {
-            _ if roll < not_sent => tasks.performed(clock, &action, Effect::NotSent),
+            _ if roll < not_sent => tasks.record_result(clock, &action, ActionResult::NotSent),
             _ if roll < late => {
                 let arrives_at = now + Duration::from_millis(rng.u64(100..6_000));
                 self.delayed_actions.push((arrives_at, action.clone()));
@@ -228,13 +228,13 @@
             }
             _ if roll < late + rates.lost_reply => {
                 self.worker.perform(clock, &action);
-                tasks.performed(clock, &action, Effect::Unknown);
+                tasks.record_result(clock, &action, ActionResult::Unknown);
             }
             _ => {
                 let (effect, checkpoint) = self.worker.perform(clock, &action);
-                tasks.performed(clock, &action, effect);
+                tasks.record_result(clock, &action, effect);
                 if let (Action::Checkpoint(id), Some(text)) = (&action, checkpoint) {
-                    tasks.checkpointed(id, text.into());
+                    tasks.record_checkpoint(id, text.into());
                 }
             }
         }
