--- a/crates/agent/src/announce.rs
+++ b/crates/agent/src/announce.rs
@@ -16,12 +16,12 @@
 use crate::shared::Shared;
 
 /// Time between announcements.
-pub const PERIOD: Duration = Duration::from_secs(1);
+pub const ANNOUNCE_PERIOD: Duration = Duration::from_secs(1);
 /// Time allowed for one announcement. Shorter than the period, so that a silent entry does not
 /// pile up announcements.
-const LIMIT: Duration = Duration::from_millis(900);
+const ANNOUNCE_TIMEOUT: Duration = Duration::from_millis(900);
 /// Rounds without any answer after which the entries of the settings are asked again.
-const LOST_ROUNDS: u32 = 3;
+const SILENT_ROUNDS_LIMIT: u32 = 3;
 
 /// Sends announcements.
 #[derive(Debug)]
@@ -31,11 +31,11 @@
     peers: Peers,
     sequence: AtomicU64,
     /// Announcements in flight for each address.
-    open: Mutex<HashMap<String, u32>>,
+    in_flight: Mutex<HashMap<String, u32>>,
     /// Rounds since the last answer.
-    unanswered: Mutex<u32>,
+    silent_rounds: Mutex<u32>,
     /// Addresses that have confirmed that the agent leaves.
-    left: Mutex<HashSet<String>>,
+    confirmed: Mutex<HashSet<String>>,
 }
 
 impl Announcer {
@@ -45,39 +45,39 @@
             shared,
             peers: Peers::default(),
             sequence: AtomicU64::new(0),
-            open: Mutex::default(),
-            unanswered: Mutex::default(),
-            left: Mutex::default(),
+            in_flight: Mutex::default(),
+            silent_rounds: Mutex::default(),
+            confirmed: Mutex::default(),
         }
     }
 
     /// Announces each second, and at once when the agent begins to leave, until `shutdown`.
     pub async fn run(self: Arc<Self>, shutdown: Shutdown) {
-        let mut told = false;
+        let mut leave_sent = false;
         while !shutdown.is_set() {
             let leaving = self.shared.leaving.is_set();
-            self.clone().round(leaving && !told);
-            told = leaving;
-            match told {
-                true => runtime::sleep_or_shutdown(PERIOD, &shutdown).await,
-                false => runtime::sleep_or_shutdown(PERIOD, &self.shared.leaving).await,
+            self.clone().announce_all(leaving && !leave_sent);
+            leave_sent = leaving;
+            match leave_sent {
+                true => runtime::sleep_or_shutdown(ANNOUNCE_PERIOD, &shutdown).await,
+                false => runtime::sleep_or_shutdown(ANNOUNCE_PERIOD, &self.shared.leaving).await,
             };
         }
     }
 
     /// Tells whether all home entries have confirmed that the agent leaves.
     pub fn has_left(&self) -> bool {
-        let left = self.left.lock();
-        self.shared.view.homes().iter().all(|address| left.contains(address))
+        let confirmed = self.confirmed.lock();
+        self.shared.view.homes().iter().all(|address| confirmed.contains(address))
     }
 
     /// Starts one announcement to each home entry. Skips entries that have not answered the last
     /// one, unless `urgent`.
-    fn round(self: Arc<Self>, urgent: bool) {
+    fn announce_all(self: Arc<Self>, urgent: bool) {
         for address in self.targets() {
-            let busy = self.open.lock().get(&address).copied().unwrap_or_default() > 0;
+            let busy = self.in_flight.lock().get(&address).copied().unwrap_or_default() > 0;
             if !busy || urgent {
-                *self.open.lock().entry(address.clone()).or_default() += 1;
+                *self.in_flight.lock().entry(address.clone()).or_default() += 1;
                 let announcer = self.clone();
                 runtime::spawn(async move { announcer.announce(address).await }).detach();
             }
@@ -86,11 +86,12 @@
 
     fn targets(&self) -> Vec<String> {
         let mut targets = self.shared.view.homes();
-        let mut unanswered = self.unanswered.lock();
-        *unanswered = unanswered.saturating_add(1);
-        if *unanswered > LOST_ROUNDS {
+        let mut silent_rounds = self.silent_rounds.lock();
+        *silent_rounds = silent_rounds.saturating_add(1);
+        if *silent_rounds > SILENT_ROUNDS_LIMIT {
             let known = targets.clone();
-            let others = self.shared.view.bootstrap().into_iter().filter(|a| !known.contains(a));
+            let others =
+                self.shared.view.bootstrap_addresses().into_iter().filter(|a| !known.contains(a));
             targets.extend(others);
         }
         targets
@@ -99,21 +100,21 @@
     async fn announce(self: Arc<Self>, address: String) {
         let message = self.message();
         let reply: Result<AnnounceReply, _> =
-            self.peers.call(&address, "announce", &message, LIMIT).await;
+            self.peers.call(&address, "announce", &message, ANNOUNCE_TIMEOUT).await;
         {
-            let mut open = self.open.lock();
-            match open.get_mut(&address) {
+            let mut in_flight = self.in_flight.lock();
+            match in_flight.get_mut(&address) {
                 Some(count) if *count > 1 => *count -= 1,
-                _ => drop(open.remove(&address)),
+                _ => drop(in_flight.remove(&address)),
             }
         }
         match reply {
             Ok(reply) => {
-                *self.unanswered.lock() = 0;
+                *self.silent_rounds.lock() = 0;
                 if message.state == AgentState::Leaving {
-                    self.left.lock().insert(address);
+                    self.confirmed.lock().insert(address);
                 }
-                self.shared.learn(reply);
+                self.shared.apply_reply(reply);
             }
             Err(error) => {
                 metrics::counter!("peridotfold_announce_failures_total").increment(1);
--- a/crates/agent/src/batch.rs
+++ b/crates/agent/src/batch.rs
@@ -31,41 +31,41 @@
 use worker_client::WorkerClient;
 
 /// Pause between two lists while tasks are there, and while there are none.
-const POLL_BUSY: Duration = Duration::from_millis(250);
-const POLL_IDLE: Duration = Duration::from_secs(1);
+const POLL_INTERVAL_BUSY: Duration = Duration::from_millis(250);
+const POLL_INTERVAL_IDLE: Duration = Duration::from_secs(1);
 /// Requests to the worker at a time.
-const ACTIONS_AT_ONCE: usize = 8;
+const MAX_PARALLEL_ACTIONS: usize = 8;
 const CONTROL_PERIOD: Duration = Duration::from_secs(1);
 /// Assumed lag of the worker's usage and of the smoothed latency.
 const MEASUREMENT_LAG: Duration = Duration::from_secs(2);
 /// Latency to protect before the configuration names one; its own default.
-const DEFAULT_TARGET: Duration = Duration::from_millis(50);
+const DEFAULT_LATENCY_TARGET: Duration = Duration::from_millis(50);
 /// The owner holds a reply for up to 1 s.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(3);
 /// Shortest pause between two reports: after orders, and otherwise. Keeps an owner that replies at
 /// once from being called in a tight loop.
-const REPORT_PAUSE_ORDERS: Duration = Duration::from_millis(20);
+const REPORT_PAUSE_AFTER_ORDERS: Duration = Duration::from_millis(20);
 const REPORT_PAUSE: Duration = Duration::from_millis(100);
-const REPORT_RETRY: Duration = Duration::from_millis(250);
-const DRAIN_CHECK: Duration = Duration::from_millis(50);
+const REPORT_RETRY_DELAY: Duration = Duration::from_millis(250);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Batch tasks of a VM.
 #[derive(Debug, Clone)]
 pub struct Batch {
-    shared: Arc<Shared>,
+    inner: Arc<Inner>,
 }
 
 #[derive(Debug)]
-struct Shared {
+struct Inner {
     state: Mutex<State>,
     worker: WorkerClient,
     peers: Arc<Peers>,
     service: ServiceId,
     drain_grace: Duration,
-    wake: Sender<()>,
-    woken: Receiver<()>,
-    close: Trigger,
-    closed: Shutdown,
+    wake_sender: Sender<()>,
+    wake_receiver: Receiver<()>,
+    stop_trigger: Trigger,
+    stopped: Shutdown,
 }
 
 #[derive(Debug)]
@@ -73,8 +73,8 @@
     tasks: Tasks,
     colocation: Colocation,
     next_control: Time,
-    worker_ok: bool,
-    owner_ok: bool,
+    worker_answers: bool,
+    owner_answers: bool,
 }
 
 impl Batch {
@@ -88,25 +88,25 @@
         };
         let state = State {
             tasks: Tasks::new(identity, MEASUREMENT_LAG),
-            colocation: Colocation::new(MEASUREMENT_LAG, DEFAULT_TARGET),
+            colocation: Colocation::new(MEASUREMENT_LAG, DEFAULT_LATENCY_TARGET),
             next_control: Duration::ZERO,
-            worker_ok: true,
-            owner_ok: true,
+            worker_answers: true,
+            owner_answers: true,
         };
-        let (wake, woken) = async_channel::bounded(1);
-        let (close, closed) = shutdown::channel();
-        let shared = Shared {
+        let (wake_sender, wake_receiver) = async_channel::bounded(1);
+        let (stop_trigger, stopped) = shutdown::channel();
+        let inner = Inner {
             state: Mutex::new(state),
             worker: WorkerClient::new(settings.worker),
             peers,
             service: settings.service.clone(),
             drain_grace: settings.drain_grace,
-            wake,
-            woken,
-            close,
-            closed,
+            wake_sender,
+            wake_receiver,
+            stop_trigger,
+            stopped,
         };
-        Batch { shared: Arc::new(shared) }
+        Batch { inner: Arc::new(inner) }
     }
 
     /// Runs tasks until the batch work is drained. The signal starts a drain with the grace period
@@ -118,38 +118,38 @@
         latency: impl Fn() -> Duration + Send + Sync + 'static,
         shutdown: Shutdown,
     ) {
-        let shared = &self.shared;
-        let tasks = shared.worker_loop(document, latency);
-        let reports = shared.report_loop(owner);
+        let inner = &self.inner;
+        let tasks = inner.worker_loop(document, latency);
+        let reports = inner.report_loop(owner);
         let drained = async {
             shutdown.wait().await;
-            self.drain(shared.drain_grace).await;
+            self.drain(inner.drain_grace).await;
         };
-        future::or(future::or(tasks, reports), future::or(shared.closed.wait(), drained)).await;
+        future::or(future::or(tasks, reports), future::or(inner.stopped.wait(), drained)).await;
     }
 
     /// Takes checkpoints of all tasks, stops them and hands them back, for at most `limit`; then
     /// ends [`Batch::run`].
     pub async fn drain(&self, limit: Duration) {
         let deadline = runtime::now() + limit;
-        self.shared.state.lock().tasks.drain();
-        self.shared.wake_worker_loop();
-        while runtime::now() < deadline && !self.shared.closed.is_set() {
-            if self.shared.state.lock().tasks.is_drained() {
+        self.inner.state.lock().tasks.drain();
+        self.inner.wake_worker_loop();
+        while runtime::now() < deadline && !self.inner.stopped.is_set() {
+            if self.inner.state.lock().tasks.is_drained() {
                 break;
             }
-            runtime::sleep(DRAIN_CHECK).await;
+            runtime::sleep(DRAIN_POLL_INTERVAL).await;
         }
-        let left = self.shared.state.lock().tasks.attempt_count();
-        tracing::info!(event = "batch_drained", attempts_left = left);
-        self.shared.close.fire();
+        let remaining = self.inner.state.lock().tasks.attempt_count();
+        tracing::info!(event = "batch_drained", attempts_left = remaining);
+        self.inner.stop_trigger.fire();
     }
 }
 
-impl Shared {
+impl Inner {
     fn wake_worker_loop(&self) {
         // A full channel means that the loop is about to run anyway.
-        let _ = self.wake.try_send(());
+        let _ = self.wake_sender.try_send(());
     }
 
     async fn worker_loop(
@@ -158,11 +158,11 @@
         latency: impl Fn() -> Duration,
     ) {
         loop {
-            match self.list().await {
-                Ok(()) => log::worker_reachable(&mut self.state.lock().worker_ok),
-                Err(error) => log::worker_failed(&mut self.state.lock().worker_ok, &error),
+            match self.refresh_tasks().await {
+                Ok(()) => log::worker_reachable(&mut self.state.lock().worker_answers),
+                Err(error) => log::worker_failed(&mut self.state.lock().worker_answers, &error),
             }
-            let actions = self.decide(document(), latency());
+            let actions = self.due_actions(document(), latency());
             self.perform_all(actions).await;
             let busy = {
                 let mut state = self.state.lock();
@@ -170,11 +170,11 @@
                 log::gauges(&state.tasks, &state.colocation);
                 state.tasks.attempt_count() > 0
             };
-            self.pause(if busy { POLL_BUSY } else { POLL_IDLE }).await;
+            self.sleep_or_wake(if busy { POLL_INTERVAL_BUSY } else { POLL_INTERVAL_IDLE }).await;
         }
     }
 
-    async fn list(&self) -> Result<(), WireError> {
+    async fn refresh_tasks(&self) -> Result<(), WireError> {
         let request = self.state.lock().tasks.claim_request();
         if let Some(request) = request {
             let claimed = self.worker.claim(&request).await?;
@@ -193,14 +193,14 @@
         Ok(())
     }
 
-    async fn pause(&self, duration: Duration) {
+    async fn sleep_or_wake(&self, duration: Duration) {
         let woken = async {
-            let _ = self.woken.recv().await;
+            let _ = self.wake_receiver.recv().await;
         };
         future::or(runtime::sleep(duration), woken).await;
     }
 
-    fn decide(&self, document: Option<Arc<Document>>, latency: Duration) -> Vec<Action> {
+    fn due_actions(&self, document: Option<Arc<Document>>, latency: Duration) -> Vec<Action> {
         let mut state = self.state.lock();
         let now = runtime::now();
         if let Some(document) = document {
@@ -208,7 +208,7 @@
             state.tasks.set_limits(limits);
             if now >= state.next_control {
                 state.next_control = now + CONTROL_PERIOD;
-                state.control(now, &document, &self.service, latency);
+                state.adjust_colocation(now, &document, &self.service, latency);
             }
         }
         state.tasks.actions(now)
@@ -217,12 +217,12 @@
     /// Performs actions in order, several at a time. Ends early when the worker does not answer:
     /// the rest is due again after the next list.
     async fn perform_all(self: &Arc<Self>, actions: Vec<Action>) {
-        for group in actions.chunks(ACTIONS_AT_ONCE) {
+        for group in actions.chunks(MAX_PARALLEL_ACTIONS) {
             let started: Vec<smol::Task<bool>> = group
                 .iter()
                 .map(|action| {
-                    let (shared, action) = (self.clone(), action.clone());
-                    runtime::spawn(async move { shared.perform(action).await })
+                    let (inner, action) = (self.clone(), action.clone());
+                    runtime::spawn(async move { inner.perform(action).await })
                 })
                 .collect();
             let mut answered = true;
@@ -241,13 +241,13 @@
         if !self.state.lock().tasks.begin(runtime::now(), &action) {
             return true;
         }
-        let (effect, checkpoint, error) = self.worker.perform(&action).await;
+        let (result, checkpoint, error) = self.worker.perform(&action).await;
         if let Some(error) = error {
             log::action_failed(&action, &error);
         }
-        let answered = matches!(effect, ActionResult::Done | ActionResult::Refused(_));
+        let answered = matches!(result, ActionResult::Done | ActionResult::Refused(_));
         let mut state = self.state.lock();
-        state.tasks.record_result(runtime::now(), &action, effect);
+        state.tasks.record_result(runtime::now(), &action, result);
         if let (Action::Checkpoint(id), Some(taken)) = (&action, checkpoint) {
             state.tasks.record_checkpoint(id, taken.checkpoint.into());
         }
@@ -258,7 +258,7 @@
         loop {
             let pause = match owner() {
                 Some(owner) => self.report(&owner).await,
-                None => REPORT_RETRY,
+                None => REPORT_RETRY_DELAY,
             };
             runtime::sleep(pause).await;
         }
@@ -279,27 +279,33 @@
             Ok(orders) => {
                 let ordered = has_orders(&orders);
                 let mut state = self.state.lock();
-                log::owner_reachable(&mut state.owner_ok);
+                log::owner_reachable(&mut state.owner_answers);
                 state.tasks.apply_orders(runtime::now(), orders);
                 log::transitions(&mut state.tasks);
                 drop(state);
                 self.wake_worker_loop();
                 if ordered {
-                    REPORT_PAUSE_ORDERS
+                    REPORT_PAUSE_AFTER_ORDERS
                 } else {
                     REPORT_PAUSE
                 }
             }
             Err(error) => {
-                log::report_failed(&mut self.state.lock().owner_ok, &error);
-                REPORT_RETRY
+                log::report_failed(&mut self.state.lock().owner_answers, &error);
+                REPORT_RETRY_DELAY
             }
         }
     }
 }
 
 impl State {
-    fn control(&mut self, now: Time, document: &Document, service: &str, latency: Duration) {
+    fn adjust_colocation(
+        &mut self,
+        now: Time,
+        document: &Document,
+        service: &str,
+        latency: Duration,
+    ) {
         if let Some(service) = document.services.get(service) {
             self.colocation.set_target(service.target());
         }
@@ -317,8 +323,8 @@
         let mut loads = BTreeMap::new();
         for (_, class, usage) in self.tasks.running() {
             let urgent = document.classes.get(class).is_some_and(|class| class.urgent);
-            let fresh = ClassLoad { tasks: 0, cpu_milli: 0, urgent };
-            let load = loads.entry(class.to_owned()).or_insert(fresh);
+            let empty = ClassLoad { tasks: 0, cpu_milli: 0, urgent };
+            let load = loads.entry(class.to_owned()).or_insert(empty);
             load.tasks += 1;
             load.cpu_milli += usage.cpu_milli;
         }
--- a/crates/agent/src/batch/log.rs
+++ b/crates/agent/src/batch/log.rs
@@ -71,16 +71,16 @@
 }
 
 /// Logs the change to a worker that answers.
-pub fn worker_reachable(ok: &mut bool) {
-    if !std::mem::replace(ok, true) {
+pub fn worker_reachable(reachable: &mut bool) {
+    if !std::mem::replace(reachable, true) {
         tracing::info!(event = "worker_reachable");
     }
 }
 
 /// Counts a failed list, and logs the change to a worker that does not answer.
-pub fn worker_failed(ok: &mut bool, error: &WireError) {
+pub fn worker_failed(reachable: &mut bool, error: &WireError) {
     metrics::counter!("peridotfold_worker_errors_total", "action" => "list").increment(1);
-    if std::mem::replace(ok, false) {
+    if std::mem::replace(reachable, false) {
         tracing::warn!(
             event = "worker_unreachable",
             step = %error.step,
@@ -91,16 +91,16 @@
 }
 
 /// Logs the change to an owner that answers.
-pub fn owner_reachable(ok: &mut bool) {
-    if !std::mem::replace(ok, true) {
+pub fn owner_reachable(reachable: &mut bool) {
+    if !std::mem::replace(reachable, true) {
         tracing::info!(event = "cell_owner_reachable");
     }
 }
 
 /// Counts a failed report, and logs the change to an owner that does not answer.
-pub fn report_failed(ok: &mut bool, error: &WireError) {
+pub fn report_failed(reachable: &mut bool, error: &WireError) {
     metrics::counter!("peridotfold_report_errors_total").increment(1);
-    if std::mem::replace(ok, false) {
+    if std::mem::replace(reachable, false) {
         tracing::warn!(
             event = "report_failed",
             step = %error.step,
--- a/crates/agent/src/batch/worker_client.rs
+++ b/crates/agent/src/batch/worker_client.rs
@@ -17,7 +17,7 @@
 use serde::Serialize;
 
 /// The worker is on the same VM; a longer silence means that it is paused or gone.
-const TIMEOUT: Duration = Duration::from_secs(1);
+const WORKER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Client of the worker API at one address.
 #[derive(Debug, Clone)]
@@ -73,10 +73,10 @@
         &self,
         action: &Action,
     ) -> (ActionResult, Option<Checkpoint>, Option<WireError>) {
-        match self.request(action).await {
+        match self.send_action(action).await {
             Ok(response) if response.status().is_success() => {
-                let wanted = matches!(action, Action::Checkpoint(_));
-                let checkpoint = wanted.then(|| self.decode(response.body()));
+                let takes_checkpoint = matches!(action, Action::Checkpoint(_));
+                let checkpoint = takes_checkpoint.then(|| self.decode(response.body()));
                 match checkpoint.transpose() {
                     Ok(checkpoint) => (ActionResult::Done, checkpoint, None),
                     Err(error) => (ActionResult::Unknown, None, Some(error)),
@@ -96,7 +96,7 @@
         }
     }
 
-    async fn request(&self, action: &Action) -> Result<Response<Bytes>, WireError> {
+    async fn send_action(&self, action: &Action) -> Result<Response<Bytes>, WireError> {
         let path = |id: &AttemptId, verb: &str| format!("/v1/tasks/{}{verb}", task_path_id(id));
         match action {
             Action::Start(start) => self.post("/v1/tasks", start).await,
@@ -130,7 +130,7 @@
         path: &str,
         body: Bytes,
     ) -> Result<Response<Bytes>, WireError> {
-        self.http.simple(self.address, method, path, body, TIMEOUT).await
+        self.http.simple(self.address, method, path, body, WORKER_TIMEOUT).await
     }
 
     fn decode<T: DeserializeOwned>(&self, body: &Bytes) -> Result<T, WireError> {
--- a/crates/agent/src/gate.rs
+++ b/crates/agent/src/gate.rs
@@ -22,7 +22,7 @@
 }
 
 #[derive(Debug)]
-struct Waiting {
+struct RequestSignals {
     decision: Sender<Option<Refusal>>,
     abort: Trigger,
 }
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 struct State {
     admission: Admission,
-    waiting: HashMap<RequestId, Waiting>,
+    signals: HashMap<RequestId, RequestSignals>,
 }
 
 /// Admission of the requests to one upstream.
@@ -51,7 +51,7 @@
 impl Gate {
     /// Builds the admission of an upstream without requests.
     pub fn new(limits: Limits) -> Self {
-        let state = State { admission: Admission::new(limits), waiting: HashMap::new() };
+        let state = State { admission: Admission::new(limits), signals: HashMap::new() };
         Gate { state: Arc::new(Mutex::new(state)) }
     }
 
@@ -64,7 +64,7 @@
         &self,
         id: &RequestId,
         deadline: Time,
-        gone: impl std::future::Future<Output = ()>,
+        disconnected: impl std::future::Future<Output = ()>,
     ) -> Result<Permit, Rejection> {
         let (permit, decision) = {
             let mut state = self.state.lock();
@@ -79,7 +79,7 @@
                 _ => (permit, decision),
             }
         };
-        self.wait(permit, decision, deadline, gone).await
+        self.wait(permit, decision, deadline, disconnected).await
     }
 
     /// Admits a request that uses neither slot nor connection.
@@ -137,7 +137,7 @@
     fn register(&self, state: &mut State, id: &RequestId) -> (Permit, Receiver<Option<Refusal>>) {
         let (sender, decision) = async_channel::bounded(1);
         let (abort, aborted) = shutdown::channel();
-        state.waiting.insert(id.clone(), Waiting { decision: sender, abort });
+        state.signals.insert(id.clone(), RequestSignals { decision: sender, abort });
         let permit = Permit { gate: self.clone(), id: id.clone(), aborted, ending: Ending::Failed };
         (permit, decision)
     }
@@ -147,7 +147,7 @@
         permit: Permit,
         decision: Receiver<Option<Refusal>>,
         deadline: Time,
-        gone: impl std::future::Future<Output = ()>,
+        disconnected: impl std::future::Future<Output = ()>,
     ) -> Result<Permit, Rejection> {
         let id = permit.id.clone();
         let expire = async {
@@ -155,12 +155,12 @@
             self.tick();
             future::pending().await
         };
-        let leave = async {
-            gone.await;
+        let cancel = async {
+            disconnected.await;
             self.cancel(&id);
             future::pending().await
         };
-        match future::or(decision.recv(), future::or(expire, leave)).await {
+        match future::or(decision.recv(), future::or(expire, cancel)).await {
             Ok(None) => Ok(permit),
             Ok(Some(refusal)) => Err(Rejection::Refused(refusal)),
             // The sender is kept until the permit is dropped.
@@ -182,15 +182,15 @@
                 Action::Start(id) => (id, None),
                 Action::Refuse(id, refusal) => (id, Some(refusal)),
                 Action::Abort(id) => {
-                    if let Some(waiting) = self.waiting.get(&id) {
-                        waiting.abort.fire();
+                    if let Some(signals) = self.signals.get(&id) {
+                        signals.abort.fire();
                     }
                     continue;
                 }
             };
-            if let Some(waiting) = self.waiting.get(&id) {
+            if let Some(signals) = self.signals.get(&id) {
                 // One decision is made for each queued request, and the channel has room for it.
-                let _ = waiting.decision.try_send(decision);
+                let _ = signals.decision.try_send(decision);
             }
         }
     }
@@ -218,7 +218,7 @@
 impl Drop for Permit {
     fn drop(&mut self) {
         let mut state = self.gate.state.lock();
-        state.waiting.remove(&self.id);
+        state.signals.remove(&self.id);
         if state.admission.is_queued(&self.id) {
             // Nobody is left to take the slot.
             state.admission.cancel(runtime::now(), &self.id);
--- a/crates/agent/src/http.rs
+++ b/crates/agent/src/http.rs
@@ -102,9 +102,11 @@
     response(status, "application/json", value.to_string())
 }
 
-fn response(status: StatusCode, kind: &'static str, body: String) -> Response<Body> {
+fn response(status: StatusCode, content_type: &'static str, body: String) -> Response<Body> {
     let mut response = Response::new(Body::full(body));
     *response.status_mut() = status;
-    response.headers_mut().insert(header::CONTENT_TYPE, header::HeaderValue::from_static(kind));
+    response
+        .headers_mut()
+        .insert(header::CONTENT_TYPE, header::HeaderValue::from_static(content_type));
     response
 }
--- a/crates/agent/src/keyed.rs
+++ b/crates/agent/src/idempotency.rs
@@ -14,10 +14,10 @@
 #[derive(Debug, Default)]
 struct State {
     table: KeyTable,
-    joined: HashMap<Bytes, Vec<Sender<Outcome>>>,
+    waiters: HashMap<Bytes, Vec<Sender<Outcome>>>,
     /// Incarnations of entries that have ended and whose keys were taken over. Kept for the life of
     /// the process: a copy may be on its way for any time, and entries restart rarely.
-    ended: HashSet<(EntryId, Incarnation)>,
+    ended_entries: HashSet<(EntryId, Incarnation)>,
 }
 
 /// Idempotency keys of this agent.
@@ -28,7 +28,7 @@
 
 /// What to do with a request that has a key.
 #[derive(Debug)]
-pub enum Entered {
+pub enum KeyDecision {
     Run(KeyRun),
     /// Yields the outcome of the running request.
     Join(Receiver<Outcome>),
@@ -49,32 +49,32 @@
 
 impl Keys {
     /// Decides about a request with `key` from an incarnation of an entry.
-    pub fn enter(&self, key: &Bytes, entry: &EntryId, incarnation: Incarnation) -> Entered {
+    pub fn decide(&self, key: &Bytes, entry: &EntryId, incarnation: Incarnation) -> KeyDecision {
         let mut state = self.state.lock();
-        if state.ended.contains(&(entry.clone(), incarnation)) {
-            return Entered::Ended;
+        if state.ended_entries.contains(&(entry.clone(), incarnation)) {
+            return KeyDecision::Ended;
         }
         match state.table.claim(runtime::now(), key) {
             Claim::Run => {
                 let key = key.clone();
-                Entered::Run(KeyRun { keys: self.clone(), key, outcome: Outcome::Unknown })
+                KeyDecision::Run(KeyRun { keys: self.clone(), key, outcome: Outcome::Unknown })
             }
             Claim::Join => {
                 let (sender, receiver) = async_channel::bounded(1);
-                state.joined.entry(key.clone()).or_default().push(sender);
-                Entered::Join(receiver)
+                state.waiters.entry(key.clone()).or_default().push(sender);
+                KeyDecision::Join(receiver)
             }
-            Claim::Replay(answer) => Entered::Replay(answer),
-            Claim::Unknown => Entered::Unknown,
-            Claim::Full => Entered::Full,
+            Claim::Replay(answer) => KeyDecision::Replay(answer),
+            Claim::Unknown => KeyDecision::Unknown,
+            Claim::Full => KeyDecision::Full,
         }
     }
 
     /// Returns a page of the table, which names each key that may have run for the ended
     /// incarnation of an entry: its later requests are refused from now on.
-    pub fn read(&self, request: &KeyTableRequest) -> KeyTableReply {
+    pub fn read_page(&self, request: &KeyTableRequest) -> KeyTableReply {
         let mut state = self.state.lock();
-        state.ended.insert((request.entry.clone(), request.ended));
+        state.ended_entries.insert((request.entry.clone(), request.ended));
         let (keys, more) = state.table.page(request.after);
         KeyTableReply::Page { keys, more }
     }
@@ -101,8 +101,8 @@
     fn drop(&mut self) {
         let mut state = self.keys.state.lock();
         state.table.settle(runtime::now(), &self.key, self.outcome.clone());
-        for joined in state.joined.remove(&self.key).unwrap_or_default() {
-            let _ = joined.try_send(self.outcome.clone());
+        for waiter in state.waiters.remove(&self.key).unwrap_or_default() {
+            let _ = waiter.try_send(self.outcome.clone());
         }
     }
 }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -4,11 +4,11 @@
 pub mod batch;
 pub mod gate;
 pub mod http;
-pub mod incoming;
-pub mod keyed;
+pub mod idempotency;
+pub mod messages;
 pub mod relay;
 pub mod request;
-pub mod serve;
+pub mod request_body;
 pub mod settings;
 pub mod shared;
 pub mod upstream;
@@ -29,21 +29,21 @@
 use crate::announce::Announcer;
 use crate::batch::Batch;
 use crate::http::StatusPages;
-use crate::serve::Messages;
+use crate::messages::MessageHandler;
 use crate::settings::Settings;
 use crate::shared::Shared;
 
 /// Time allowed to hand back batch tasks.
-const BATCH_DRAIN_LIMIT: Duration = Duration::from_secs(20);
+const BATCH_DRAIN_TIMEOUT: Duration = Duration::from_secs(20);
 /// Time allowed to close connections after all requests have ended.
-const CLOSE_LIMIT: Duration = Duration::from_secs(2);
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time allowed for the home entries to confirm that the agent leaves.
-const LEAVE_LIMIT: Duration = Duration::from_secs(2);
+const LEAVE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time after the confirmations in which requests that were already on their way are refused
 /// properly. A request that meets a closed connection instead might have an unknown outcome.
 const LEAVE_LINGER: Duration = Duration::from_millis(250);
 /// Time between two looks at whether the requests have ended.
-const DRAIN_POLL: Duration = Duration::from_millis(20);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Runs an agent until SIGTERM, then drains it.
 ///
@@ -67,7 +67,7 @@
     http: SocketAddr,
     internal: SocketAddr,
     leaving: Trigger,
-    close_feeds: Trigger,
+    close_streams: Trigger,
     stop: Trigger,
     tasks: Vec<Task<()>>,
 }
@@ -79,8 +79,8 @@
     ///
     /// Fails when an address cannot be bound.
     pub async fn start(settings: Settings) -> eyre::Result<Self> {
-        let (leaving, left) = shutdown::channel();
-        let (close_feeds, feeds_closed) = shutdown::channel();
+        let (leaving, leaving_signal) = shutdown::channel();
+        let (close_streams, streams_closed) = shutdown::channel();
         let (stop, stopped) = shutdown::channel();
         let messages = MessageServer::bind(settings.internal)
             .await
@@ -90,8 +90,8 @@
             .wrap_err_with(|| format!("step=bind field=http address={}", settings.http))?;
         let http = pages.address();
         let internal = messages.address();
-        let reached_at = settings.advertise.unwrap_or(internal);
-        let shared = Arc::new(Shared::new(settings, reached_at, left, feeds_closed));
+        let advertised = settings.advertise.unwrap_or(internal);
+        let shared = Arc::new(Shared::new(settings, advertised, leaving_signal, streams_closed));
         tracing::info!(
             event = "agent_started",
             agent = shared.settings.id,
@@ -100,7 +100,7 @@
             %http,
         );
         let batch = Batch::new(&shared.settings, shared.incarnation, shared.peers.clone());
-        let handler = Arc::new(Messages::new(shared.clone()));
+        let handler = Arc::new(MessageHandler::new(shared.clone()));
         let status = Arc::new(StatusPages::new(shared.clone()));
         let announcer = Arc::new(Announcer::new(shared.clone()));
         let tasks = vec![
@@ -109,7 +109,7 @@
             runtime::spawn(announcer.clone().run(stopped.clone())),
             runtime::spawn(run_batch(batch.clone(), shared.clone(), stopped)),
         ];
-        Ok(Agent { shared, batch, announcer, http, internal, leaving, close_feeds, stop, tasks })
+        Ok(Agent { shared, batch, announcer, http, internal, leaving, close_streams, stop, tasks })
     }
 
     /// Address for health and metrics.
@@ -133,37 +133,37 @@
         self.shared.gate.leave();
         self.leaving.fire();
         let grace = runtime::sleep(self.shared.settings.drain_grace);
-        let feeds = async {
+        let close_after_grace = async {
             grace.await;
-            self.close_feeds.fire();
+            self.close_streams.fire();
             future::pending().await
         };
-        let requests = future::or(self.idle(), feeds);
-        future::zip(requests, self.left()).await;
+        let requests = future::or(self.wait_idle(), close_after_grace);
+        future::zip(requests, self.wait_left()).await;
         tracing::info!(event = "requests_drained", agent = self.shared.settings.id);
-        self.batch.drain(BATCH_DRAIN_LIMIT).await;
+        self.batch.drain(BATCH_DRAIN_TIMEOUT).await;
         self.stop.fire();
         let close = async {
             for task in self.tasks {
                 task.await;
             }
         };
-        future::or(close, runtime::sleep(CLOSE_LIMIT)).await;
+        future::or(close, runtime::sleep(CLOSE_TIMEOUT)).await;
         tracing::info!(event = "drain_ended", agent = self.shared.settings.id);
     }
 
     /// Waits until no entry sends requests any more.
-    async fn left(&self) {
-        let limit = runtime::now() + LEAVE_LIMIT;
+    async fn wait_left(&self) {
+        let limit = runtime::now() + LEAVE_TIMEOUT;
         while !self.announcer.has_left() && runtime::now() < limit {
-            runtime::sleep(DRAIN_POLL).await;
+            runtime::sleep(DRAIN_POLL_INTERVAL).await;
         }
         runtime::sleep(LEAVE_LINGER).await;
     }
 
-    async fn idle(&self) {
+    async fn wait_idle(&self) {
         while !self.shared.gate.is_idle() {
-            runtime::sleep(DRAIN_POLL).await;
+            runtime::sleep(DRAIN_POLL_INTERVAL).await;
         }
     }
 }
--- a/crates/agent/src/serve.rs
+++ b/crates/agent/src/messages.rs
@@ -15,14 +15,14 @@
 
 /// Handles the message streams of entries.
 #[derive(Debug)]
-pub struct Messages {
+pub struct MessageHandler {
     shared: Arc<Shared>,
 }
 
-impl Messages {
+impl MessageHandler {
     /// Builds a handler.
     pub fn new(shared: Arc<Shared>) -> Self {
-        Messages { shared }
+        MessageHandler { shared }
     }
 
     async fn cancel(&self, mut stream: Stream) -> Result<(), WireError> {
@@ -33,11 +33,11 @@
     }
 }
 
-impl Messages {
+impl MessageHandler {
     async fn key_table(&self, mut stream: Stream) -> Result<(), WireError> {
         match stream.receiver.next::<KeyTableRequest>().await? {
             Some(request) if request.agent_incarnation == self.shared.incarnation => {
-                stream.responder.reply(&self.shared.keys.read(&request)).await
+                stream.responder.reply(&self.shared.keys.read_page(&request)).await
             }
             Some(_) => stream.responder.reply(&KeyTableReply::Restarted).await,
             None => stream.responder.refuse(StatusCode::BAD_REQUEST, "no message".into()),
@@ -56,7 +56,7 @@
     }
 }
 
-impl Handler for Messages {
+impl Handler for MessageHandler {
     async fn handle(&self, stream: Stream) -> Result<(), WireError> {
         match stream.kind.as_str() {
             "request" => request::serve(&self.shared, stream).await,
--- a/crates/agent/src/relay.rs
+++ b/crates/agent/src/relay.rs
@@ -17,22 +17,22 @@
 use crate::gate::Permit;
 
 /// Time after which a response of unknown length counts as a feed and gives its slot back.
-const FEED_AFTER: Duration = Duration::from_secs(1);
+const STREAM_AFTER: Duration = Duration::from_secs(1);
 /// Silence after which the last chunk of a feed is taken to be complete.
-const CHUNK_QUIET: Duration = Duration::from_millis(200);
+const CHUNK_IDLE_TIMEOUT: Duration = Duration::from_millis(200);
 /// Time within which a feed that is being closed has to come to the end of a chunk or line, and
 /// the entry has to take what was sent.
-const CLOSE_LIMIT: Duration = Duration::from_secs(2);
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Time within which the entry has to take a part of a finite response, once the agent drains and
 /// the grace period is over. Without a bound a stalled caller would hold up the stop for ever.
-const STALL_LIMIT: Duration = Duration::from_secs(10);
+const STALL_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time allowed for the body of an answer to a request with a key. Such a request is not given up
 /// when its entry goes, so nothing else ends the wait for an upstream that stopped halfway.
-const KEPT_LIMIT: Duration = Duration::from_secs(60);
+const KEPT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A response body that was kept.
-pub enum Kept {
+pub enum KeptBody {
     Whole(Bytes),
     TooLarge,
 }
@@ -40,7 +40,7 @@
 enum Event {
     Data(Bytes),
     End,
-    Cut,
+    Truncated,
     /// Time to look at the clock and the signals.
     Check,
 }
@@ -50,14 +50,14 @@
     body: PooledBody,
     sink: &'a mut FrameSender,
     permit: &'a Permit,
-    close_feeds: &'a Shutdown,
+    close_streams: &'a Shutdown,
     /// Ends the relay when a cancellation does; `None` when the request has to go on.
     aborted: Option<Shutdown>,
-    endless: bool,
-    feed_at: Time,
-    is_feed: bool,
+    unknown_length: bool,
+    stream_at: Time,
+    is_stream: bool,
     /// When the feed has to be closed; `None` while it need not.
-    close_by: Option<Time>,
+    close_deadline: Option<Time>,
     at_line_end: bool,
 }
 
@@ -67,19 +67,19 @@
         body: PooledBody,
         sink: &'a mut FrameSender,
         permit: &'a Permit,
-        close_feeds: &'a Shutdown,
+        close_streams: &'a Shutdown,
         aborted: Option<Shutdown>,
     ) -> Self {
         Relay {
-            endless: body.size_hint().exact().is_none(),
+            unknown_length: body.size_hint().exact().is_none(),
             body,
             sink,
             permit,
-            close_feeds,
+            close_streams,
             aborted,
-            feed_at: runtime::now() + FEED_AFTER,
-            is_feed: false,
-            close_by: None,
+            stream_at: runtime::now() + STREAM_AFTER,
+            is_stream: false,
+            close_deadline: None,
             at_line_end: true,
         }
     }
@@ -93,8 +93,8 @@
             match self.next().await {
                 Event::Data(part) => self.send(part).await?,
                 Event::End => return Some(()),
-                Event::Cut => return None,
-                Event::Check if self.close_by.is_some() => return Some(()),
+                Event::Truncated => return None,
+                Event::Check if self.close_deadline.is_some() => return Some(()),
                 Event::Check => {}
             }
         }
@@ -102,15 +102,15 @@
 
     /// Passes the body on while the entry takes it, and reads it to its end in any case. Returns
     /// `None` when it was cut or took longer than [`KEPT_LIMIT`].
-    pub async fn run_kept(self, reachable: bool) -> Option<Kept> {
-        future::or(self.keep(reachable), async {
-            runtime::sleep(KEPT_LIMIT).await;
+    pub async fn run_kept(self, reachable: bool) -> Option<KeptBody> {
+        future::or(self.relay_and_keep(reachable), async {
+            runtime::sleep(KEPT_TIMEOUT).await;
             None
         })
         .await
     }
 
-    async fn keep(mut self, mut reachable: bool) -> Option<Kept> {
+    async fn relay_and_keep(mut self, mut reachable: bool) -> Option<KeptBody> {
         let mut kept = Some(BytesMut::new());
         loop {
             match self.body.frame().await {
@@ -126,31 +126,31 @@
                 }
             }
         }
-        Some(kept.map_or(Kept::TooLarge, |kept| Kept::Whole(kept.freeze())))
+        Some(kept.map_or(KeptBody::TooLarge, |kept| KeptBody::Whole(kept.freeze())))
     }
 
     /// Updates what depends on the clock and the signals. Tells whether the feed can be closed.
     fn check(&mut self) -> bool {
         let now = runtime::now();
-        if self.endless && !self.is_feed && now >= self.feed_at {
-            self.is_feed = true;
+        if self.unknown_length && !self.is_stream && now >= self.stream_at {
+            self.is_stream = true;
             self.permit.detach();
         }
-        if self.is_feed && self.close_by.is_none() && self.close_feeds.is_set() {
-            self.close_by = Some(now + CLOSE_LIMIT);
+        if self.is_stream && self.close_deadline.is_none() && self.close_streams.is_set() {
+            self.close_deadline = Some(now + CLOSE_TIMEOUT);
         }
-        self.close_by.is_some_and(|limit| self.at_line_end || now >= limit)
+        self.close_deadline.is_some_and(|limit| self.at_line_end || now >= limit)
     }
 
     async fn next(&mut self) -> Event {
-        let until_feed = self.feed_at.saturating_sub(runtime::now());
-        let closing = self.close_by.is_some();
+        let until_stream = self.stream_at.saturating_sub(runtime::now());
+        let closing = self.close_deadline.is_some();
         let aborted = wait_aborted(self.aborted.clone());
         let frame = async {
             loop {
                 match self.body.frame().await {
                     None => return Event::End,
-                    Some(Err(_)) => return Event::Cut,
+                    Some(Err(_)) => return Event::Truncated,
                     Some(Ok(frame)) => match frame.into_data() {
                         Ok(part) => return Event::Data(part),
                         Err(_trailers) => continue,
@@ -158,20 +158,20 @@
                 }
             }
         };
-        let gone = async {
+        let entry_gone = async {
             future::or(self.sink.closed(), aborted).await;
-            Event::Cut
+            Event::Truncated
         };
         let timer = async {
             match () {
-                () if closing => runtime::sleep(CHUNK_QUIET).await,
-                () if self.is_feed => self.close_feeds.wait().await,
-                () if self.endless => runtime::sleep(until_feed).await,
+                () if closing => runtime::sleep(CHUNK_IDLE_TIMEOUT).await,
+                () if self.is_stream => self.close_streams.wait().await,
+                () if self.unknown_length => runtime::sleep(until_stream).await,
                 () => future::pending().await,
             }
             Event::Check
         };
-        future::or(frame, future::or(gone, timer)).await
+        future::or(frame, future::or(entry_gone, timer)).await
     }
 
     /// Sends one part. Gives the slot back when the entry is slow to take it, and gives up when it
@@ -181,24 +181,24 @@
             return Some(());
         }
         self.at_line_end = part.ends_with(b"\n");
-        let stall_limit = if self.endless { CLOSE_LIMIT } else { STALL_LIMIT };
+        let stall_timeout = if self.unknown_length { CLOSE_TIMEOUT } else { STALL_TIMEOUT };
         let aborted = wait_aborted(self.aborted.clone());
-        let stuck = async {
-            self.close_feeds.wait().await;
-            runtime::sleep(stall_limit).await;
+        let stalled = async {
+            self.close_streams.wait().await;
+            runtime::sleep(stall_timeout).await;
         };
-        let slow = async {
-            runtime::sleep(FEED_AFTER).await;
+        let detach_if_slow = async {
+            runtime::sleep(STREAM_AFTER).await;
             self.permit.detach();
             future::pending().await
         };
-        let given_up = async {
-            future::or(aborted, future::or(stuck, slow)).await;
+        let gave_up = async {
+            future::or(aborted, future::or(stalled, detach_if_slow)).await;
             None
         };
         let frame = BodyFrame::Data(part);
         let sent = async { self.sink.send(&frame).await.ok() };
-        future::or(sent, given_up).await
+        future::or(sent, gave_up).await
     }
 }
 
--- a/crates/agent/src/request.rs
+++ b/crates/agent/src/request.rs
@@ -22,14 +22,14 @@
 use tracing::Instrument;
 
 use crate::gate::{Permit, Rejection};
-use crate::incoming::Incoming;
-use crate::keyed::{Entered, KeyRun};
-use crate::relay::{Kept, Relay};
+use crate::idempotency::{KeyDecision, KeyRun};
+use crate::relay::{KeptBody, Relay};
+use crate::request_body::RequestBody;
 use crate::shared::Shared;
 use crate::upstream::forwarded_headers;
 
 /// Least time that a non-idempotent request is given, since giving it up loses its outcome.
-const NON_IDEMPOTENT_LIMIT: Duration = Duration::from_secs(60);
+const MIN_NON_IDEMPOTENT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Serves one `request` stream.
 ///
@@ -51,7 +51,7 @@
         number = head.id.number,
     );
     let deadline = runtime::now() + head.timeout;
-    let (receiver, sink) = (Some(Incoming::new(stream.receiver)), stream.responder.start()?);
+    let (receiver, sink) = (Some(RequestBody::new(stream.receiver)), stream.responder.start()?);
     let exchange = Exchange { shared: shared.clone(), head, trace, deadline, receiver, sink };
     exchange.run().instrument(span).await
 }
@@ -62,22 +62,22 @@
     trace: TraceContext,
     deadline: Time,
     /// Taken by the upload of a body with several parts.
-    receiver: Option<Incoming>,
+    receiver: Option<RequestBody>,
     sink: FrameSender,
 }
 
 /// What is left to do for the entry after the request ended.
-enum Finish {
+enum FinalStep {
     /// A whole answer went out, except for its end.
     End,
     /// The answer was cut.
-    Cut,
+    Truncated,
     Head(ResponseHead),
 }
 
 impl Exchange {
     async fn run(mut self) -> Result<(), WireError> {
-        if let Some(reason) = self.shared.mismatch(&self.head) {
+        if let Some(reason) = self.shared.target_mismatch(&self.head) {
             return self.refuse(reason).await;
         }
         let Some(key) = self.head.key.clone() else {
@@ -85,21 +85,21 @@
             return complete(self.sink, finish, permit).await;
         };
         let RequestId { entry, incarnation, .. } = &self.head.id;
-        match self.shared.keys.enter(&key, entry, *incarnation) {
-            Entered::Run(run) => self.run_key(run).await,
+        match self.shared.keys.decide(&key, entry, *incarnation) {
+            KeyDecision::Run(run) => self.run_key(run).await,
             // From here on the key has run or may still: it must not be reported as not run for
             // reasons that concern this copy only.
-            Entered::Join(outcome) => self.join(outcome).await,
-            Entered::Replay(answer) => self.replay(Outcome::Answered(answer)).await,
-            Entered::Unknown => self.replay(Outcome::Unknown).await,
-            Entered::Full => self.refuse(RefuseReason::KeyUnavailable).await,
-            Entered::Ended => self.refuse(RefuseReason::EntryEnded).await,
+            KeyDecision::Join(outcome) => self.join(outcome).await,
+            KeyDecision::Replay(answer) => self.replay(Outcome::Answered(answer)).await,
+            KeyDecision::Unknown => self.replay(Outcome::Unknown).await,
+            KeyDecision::Full => self.refuse(RefuseReason::KeyUnavailable).await,
+            KeyDecision::Ended => self.refuse(RefuseReason::EntryEnded).await,
         }
     }
 
     async fn refuse(self, reason: RefuseReason) -> Result<(), WireError> {
         let rejection = self.shared.gate.refuse(&self.head.id, reason);
-        conclude(self.sink, rejected(rejection)).await
+        send_final_head(self.sink, rejection_head(rejection)).await
     }
 
     async fn run_key(mut self, run: KeyRun) -> Result<(), WireError> {
@@ -113,43 +113,46 @@
     async fn join(mut self, outcome: Receiver<Outcome>) -> Result<(), WireError> {
         let permit = match self.shared.gate.join(&self.head.id) {
             Ok(permit) => permit,
-            Err(_) => return respond(self.sink, Outcome::Unknown).await,
+            Err(_) => return send_outcome(self.sink, Outcome::Unknown).await,
         };
-        let left = self.deadline.saturating_sub(runtime::now());
-        let late = async {
-            future::or(runtime::sleep(left), self.sink.closed()).await;
+        let remaining = self.deadline.saturating_sub(runtime::now());
+        let expired = async {
+            future::or(runtime::sleep(remaining), self.sink.closed()).await;
             Outcome::Unknown
         };
         let joined = async { outcome.recv().await.unwrap_or(Outcome::Unknown) };
-        let outcome = future::or(joined, late).await;
+        let outcome = future::or(joined, expired).await;
         let ending = if outcome == Outcome::NotRun { Ending::NotRun } else { Ending::Answered };
-        let result = respond(self.sink, outcome).await;
+        let result = send_outcome(self.sink, outcome).await;
         permit.end(ending);
         result
     }
 
     async fn replay(self, outcome: Outcome) -> Result<(), WireError> {
         let Ok(permit) = self.shared.gate.join(&self.head.id) else {
-            return respond(self.sink, Outcome::Unknown).await;
+            return send_outcome(self.sink, Outcome::Unknown).await;
         };
         metrics::counter!("peridotfold_replays_total").increment(1);
-        let result = respond(self.sink, outcome).await;
+        let result = send_outcome(self.sink, outcome).await;
         permit.end(Ending::Answered);
         result
     }
 
     /// Admits and runs the request. With `keep`, the answer is kept and read to its end also when
     /// the entry has gone.
-    async fn execute(&mut self, keep: bool) -> (Finish, Option<(Permit, Ending)>, Outcome) {
-        let body = match self.shared.objection(&self.head).await {
+    async fn execute(
+        &mut self,
+        keep_answer: bool,
+    ) -> (FinalStep, Option<(Permit, Ending)>, Outcome) {
+        let body = match self.shared.config_refusal(&self.head).await {
             Some(reason) => Err(reason),
-            None => self.body().await.map_err(|_| RefuseReason::DeadlinePassed),
+            None => self.open_body().await.map_err(|_| RefuseReason::DeadlinePassed),
         };
         let body = match body {
             Ok(body) => body,
             Err(reason) => {
                 let rejection = self.shared.gate.refuse(&self.head.id, reason);
-                return (Finish::Head(rejected(rejection)), None, Outcome::NotRun);
+                return (FinalStep::Head(rejection_head(rejection)), None, Outcome::NotRun);
             }
         };
         let admitted =
@@ -157,22 +160,22 @@
         let permit = match admitted {
             Ok(permit) => permit,
             Err(rejection) => {
-                return (Finish::Head(rejected(rejection)), None, Outcome::NotRun);
+                return (FinalStep::Head(rejection_head(rejection)), None, Outcome::NotRun);
             }
         };
         match self.call(&permit, body).await {
-            Ok(response) => self.relay(permit, response, keep).await,
-            Err(error) => failed(permit, error),
+            Ok(response) => self.relay(permit, response, keep_answer).await,
+            Err(error) => upstream_failure(permit, error),
         }
     }
 
     /// Reads the start of the request's body and leaves the rest to a task.
-    async fn body(&mut self) -> Result<Body, WireError> {
-        let left = self.deadline.saturating_sub(runtime::now());
+    async fn open_body(&mut self) -> Result<Body, WireError> {
+        let remaining = self.deadline.saturating_sub(runtime::now());
         let peer = self.head.id.entry.clone();
-        let cut = || WireError::new(Step::Receive, peer.as_str(), "request body was cut");
-        let mut receiver = self.receiver.take().ok_or_else(cut)?;
-        match runtime::timeout(left, &peer, receiver.next()).await? {
+        let truncated = || WireError::new(Step::Receive, peer.as_str(), "request body was cut");
+        let mut receiver = self.receiver.take().ok_or_else(truncated)?;
+        match runtime::timeout(remaining, &peer, receiver.next()).await? {
             Some(BodyFrame::End) => {
                 self.receiver = Some(receiver);
                 Ok(Body::empty())
@@ -182,7 +185,7 @@
                 runtime::spawn(upload(receiver, sender, part)).detach();
                 Ok(body)
             }
-            None => Err(cut()),
+            None => Err(truncated()),
         }
     }
 
@@ -191,26 +194,26 @@
         permit: &Permit,
         body: Body,
     ) -> Result<Response<PooledBody>, WireError> {
-        let left = self.deadline.saturating_sub(runtime::now());
+        let remaining = self.deadline.saturating_sub(runtime::now());
         let peer = self.shared.settings.upstream.to_string();
         let call = self.shared.upstream.call(&self.head, self.trace, body);
         if !self.is_idempotent() {
-            return runtime::timeout(left.max(NON_IDEMPOTENT_LIMIT), &peer, call).await;
+            return runtime::timeout(remaining.max(MIN_NON_IDEMPOTENT_TIMEOUT), &peer, call).await;
         }
         let aborted = permit.aborted();
-        let gone = async {
+        let abandoned = async {
             future::or(self.sink.closed(), aborted.wait()).await;
             Err(WireError::new(Step::Receive, peer.as_str(), "given up by the entry"))
         };
-        runtime::timeout(left, &peer, future::or(call, gone)).await
+        runtime::timeout(remaining, &peer, future::or(call, abandoned)).await
     }
 
     async fn relay(
         &mut self,
         permit: Permit,
         response: Response<PooledBody>,
-        keep: bool,
-    ) -> (Finish, Option<(Permit, Ending)>, Outcome) {
+        keep_answer: bool,
+    ) -> (FinalStep, Option<(Permit, Ending)>, Outcome) {
         let (head, body) = response.into_parts();
         let failed = head.status.is_server_error();
         let headers = forwarded_headers(head.headers);
@@ -218,22 +221,22 @@
         let answer = ResponseHead::Answer { status, headers: headers.clone(), replayed: false };
         let reachable = self.sink.send(&answer).await.is_ok();
         let aborted = self.is_idempotent().then(|| permit.aborted());
-        let close_feeds = &self.shared.close_feeds;
-        let relay = Relay::new(body, &mut self.sink, &permit, close_feeds, aborted);
-        let whole = match keep {
+        let close_streams = &self.shared.close_streams;
+        let relay = Relay::new(body, &mut self.sink, &permit, close_streams, aborted);
+        let relayed = match keep_answer {
             true => relay.run_kept(reachable).await,
-            false if reachable => relay.run().await.map(|()| Kept::TooLarge),
+            false if reachable => relay.run().await.map(|()| KeptBody::TooLarge),
             false => None,
         };
-        let ending = match whole {
+        let ending = match relayed {
             Some(_) if !failed => Ending::Answered,
             _ => Ending::Failed,
         };
-        let (finish, outcome) = match whole {
-            None => (Finish::Cut, Outcome::Unknown),
-            Some(Kept::TooLarge) => (Finish::End, Outcome::Unknown),
-            Some(Kept::Whole(body)) => {
-                (Finish::End, Outcome::Answered(Arc::new(Answer { status, headers, body })))
+        let (finish, outcome) = match relayed {
+            None => (FinalStep::Truncated, Outcome::Unknown),
+            Some(KeptBody::TooLarge) => (FinalStep::End, Outcome::Unknown),
+            Some(KeptBody::Whole(body)) => {
+                (FinalStep::End, Outcome::Answered(Arc::new(Answer { status, headers, body })))
             }
         };
         (finish, Some((permit, ending)), outcome)
@@ -246,7 +249,7 @@
 }
 
 /// Passes the rest of a request's body on. The body is cut when the stream is.
-async fn upload(mut receiver: Incoming, mut sender: BodySender, first: Bytes) {
+async fn upload(mut receiver: RequestBody, mut sender: BodySender, first: Bytes) {
     let mut part = first;
     loop {
         if sender.send(part).await.is_err() {
@@ -260,20 +263,23 @@
     }
 }
 
-fn failed(permit: Permit, error: WireError) -> (Finish, Option<(Permit, Ending)>, Outcome) {
+fn upstream_failure(
+    permit: Permit,
+    error: WireError,
+) -> (FinalStep, Option<(Permit, Ending)>, Outcome) {
     let WireError { step, peer, detail } = &error;
     tracing::warn!(event = "upstream_failed", %step, peer, detail);
     metrics::counter!("peridotfold_upstream_failures_total").increment(1);
     if error.is_not_sent() {
         let reason = RefuseReason::UpstreamUnreachable;
         let head = ResponseHead::NotRun { reason, retry_after: Duration::from_secs(1) };
-        return (Finish::Head(head), Some((permit, Ending::NotRun)), Outcome::NotRun);
+        return (FinalStep::Head(head), Some((permit, Ending::NotRun)), Outcome::NotRun);
     }
     let head = ResponseHead::Unknown { detail: error.to_string() };
-    (Finish::Head(head), Some((permit, Ending::Failed)), Outcome::Unknown)
+    (FinalStep::Head(head), Some((permit, Ending::Failed)), Outcome::Unknown)
 }
 
-fn rejected(rejection: Rejection) -> ResponseHead {
+fn rejection_head(rejection: Rejection) -> ResponseHead {
     match rejection {
         Rejection::Refused(Refusal { reason, retry_after }) => {
             metrics::counter!("peridotfold_refusals_total", "reason" => format!("{reason:?}"))
@@ -291,7 +297,7 @@
 /// that has it finds the request ended.
 async fn complete(
     mut sink: FrameSender,
-    finish: Finish,
+    finish: FinalStep,
     permit: Option<(Permit, Ending)>,
 ) -> Result<(), WireError> {
     let release = || {
@@ -300,16 +306,16 @@
         }
     };
     match finish {
-        Finish::Head(head) => {
+        FinalStep::Head(head) => {
             release();
-            conclude(sink, head).await
+            send_final_head(sink, head).await
         }
-        Finish::End => {
-            let result = end(&mut sink).await;
+        FinalStep::End => {
+            let result = send_end(&mut sink).await;
             release();
             result
         }
-        Finish::Cut => {
+        FinalStep::Truncated => {
             sink.abort();
             release();
             Ok(())
@@ -317,28 +323,28 @@
     }
 }
 
-async fn conclude(mut sink: FrameSender, head: ResponseHead) -> Result<(), WireError> {
+async fn send_final_head(mut sink: FrameSender, head: ResponseHead) -> Result<(), WireError> {
     sink.send(&head).await?;
     sink.finish()
 }
 
-async fn end(sink: &mut FrameSender) -> Result<(), WireError> {
+async fn send_end(sink: &mut FrameSender) -> Result<(), WireError> {
     sink.send(&BodyFrame::End).await?;
     sink.finish()
 }
 
 /// Answers a duplicate of a key with its outcome.
-async fn respond(mut sink: FrameSender, outcome: Outcome) -> Result<(), WireError> {
+async fn send_outcome(mut sink: FrameSender, outcome: Outcome) -> Result<(), WireError> {
     let answer = match outcome {
         Outcome::Answered(answer) => answer,
         Outcome::Unknown => {
             let detail = "the key was used before and its answer is not known".into();
-            return conclude(sink, ResponseHead::Unknown { detail }).await;
+            return send_final_head(sink, ResponseHead::Unknown { detail }).await;
         }
         Outcome::NotRun => {
             let reason = RefuseReason::KeyUnavailable;
             let retry_after = Duration::from_millis(100);
-            return conclude(sink, ResponseHead::NotRun { reason, retry_after }).await;
+            return send_final_head(sink, ResponseHead::NotRun { reason, retry_after }).await;
         }
     };
     let headers = answer.headers.clone();
@@ -346,5 +352,5 @@
     if !answer.body.is_empty() {
         sink.send(&BodyFrame::Data(answer.body.clone())).await?;
     }
-    end(&mut sink).await
+    send_end(&mut sink).await
 }
--- a/crates/agent/src/incoming.rs
+++ b/crates/agent/src/request_body.rs
@@ -15,14 +15,14 @@
 /// stream whose answer ends before the request did, and the entry would see a failure to send
 /// instead of the answer.
 #[derive(Debug)]
-pub struct Incoming {
+pub struct RequestBody {
     receiver: Option<FrameReceiver>,
 }
 
-impl Incoming {
+impl RequestBody {
     /// Builds the body that follows the head of a request.
     pub fn new(receiver: FrameReceiver) -> Self {
-        Incoming { receiver: Some(receiver) }
+        RequestBody { receiver: Some(receiver) }
     }
 
     /// Returns the next frame, or `None` at the end of the stream.
@@ -38,7 +38,7 @@
     }
 }
 
-impl Drop for Incoming {
+impl Drop for RequestBody {
     fn drop(&mut self) {
         let Some(mut receiver) = self.receiver.take() else {
             return;
--- a/crates/agent/src/shared.rs
+++ b/crates/agent/src/shared.rs
@@ -11,10 +11,10 @@
 use peridotfold_wire::shutdown::Shutdown;
 
 use crate::gate::Gate;
-use crate::keyed::Keys;
+use crate::idempotency::Keys;
 use crate::settings::Settings;
 use crate::upstream::Upstream;
-use crate::view::View;
+use crate::view::ClusterView;
 
 /// State that the tasks of an agent share. Lock order: view, gate; the others are never
 /// held together.
@@ -24,7 +24,7 @@
     pub incarnation: Incarnation,
     /// Address for messages, with the port that is in use.
     pub address: SocketAddr,
-    pub view: View,
+    pub view: ClusterView,
     pub gate: Gate,
     pub keys: Keys,
     pub upstream: Upstream,
@@ -33,7 +33,7 @@
     /// The agent takes no new requests.
     pub leaving: Shutdown,
     /// Responses without a known end are closed.
-    pub close_feeds: Shutdown,
+    pub close_streams: Shutdown,
 }
 
 impl Shared {
@@ -42,31 +42,31 @@
         settings: Settings,
         address: SocketAddr,
         leaving: Shutdown,
-        close_feeds: Shutdown,
+        close_streams: Shutdown,
     ) -> Self {
         // Nothing is admitted before the configuration sets the limits.
         let gate = Gate::new(Limits { slots: 0, connections: 0, queue: 0 });
         Shared {
             incarnation: fastrand::u64(1..),
             address,
-            view: View::new(settings.clone(), gate.clone()),
+            view: ClusterView::new(settings.clone(), gate.clone()),
             gate,
             keys: Keys::default(),
             upstream: Upstream::new(settings.upstream),
             peers: Arc::default(),
             settings,
             leaving,
-            close_feeds,
+            close_streams,
         }
     }
 
     /// Takes the answer to an announcement.
-    pub fn learn(&self, reply: AnnounceReply) {
-        self.view.learn(reply);
+    pub fn apply_reply(&self, reply: AnnounceReply) {
+        self.view.apply_reply(reply);
     }
 
     /// Returns why a request is not meant for this process, if it is not.
-    pub fn mismatch(&self, head: &RequestHead) -> Option<RefuseReason> {
+    pub fn target_mismatch(&self, head: &RequestHead) -> Option<RefuseReason> {
         match () {
             () if head.agent_incarnation != self.incarnation => {
                 Some(RefuseReason::WrongIncarnation)
@@ -78,7 +78,7 @@
 
     /// Returns why the configuration does not allow a request to run, if it does not. Fetches the
     /// configuration first when the agent is behind the entry.
-    pub async fn objection(&self, head: &RequestHead) -> Option<RefuseReason> {
-        self.view.require(head.config_version, &head.id.entry, &self.peers).await.err()
+    pub async fn config_refusal(&self, head: &RequestHead) -> Option<RefuseReason> {
+        self.view.require_config(head.config_version, &head.id.entry, &self.peers).await.err()
     }
 }
--- a/crates/agent/src/upstream.rs
+++ b/crates/agent/src/upstream.rs
@@ -12,7 +12,7 @@
 
 const TRACEPARENT: &str = "traceparent";
 /// Headers that concern one connection (RFC 9110, section 7.6.1), and those set anew.
-const NOT_FORWARDED: [HeaderName; 9] = [
+const STRIPPED_HEADERS: [HeaderName; 9] = [
     header::CONNECTION,
     header::HOST,
     header::PROXY_AUTHENTICATE,
@@ -84,14 +84,14 @@
 }
 
 fn remove_connection_headers(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = headers
+    let listed: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in named.iter().chain(&NOT_FORWARDED) {
+    for name in listed.iter().chain(&STRIPPED_HEADERS) {
         headers.remove(name);
     }
 }
--- a/crates/agent/src/view.rs
+++ b/crates/agent/src/view.rs
@@ -18,7 +18,7 @@
 use crate::settings::Settings;
 
 /// Time allowed for the configuration that a request needs.
-const CATCH_UP_LIMIT: Duration = Duration::from_millis(500);
+const CONFIG_FETCH_TIMEOUT: Duration = Duration::from_millis(500);
 
 #[derive(Debug, Default)]
 struct State {
@@ -29,19 +29,24 @@
 
 /// What the agent knows from entries.
 #[derive(Debug)]
-pub struct View {
+pub struct ClusterView {
     settings: Settings,
     /// Its limits change together with the configuration.
     gate: Gate,
     state: Mutex<State>,
     /// Lets one request at a time fetch the configuration.
-    catch_up: smol::lock::Mutex<()>,
+    fetch_lock: smol::lock::Mutex<()>,
 }
 
-impl View {
+impl ClusterView {
     /// Builds a view without configuration.
     pub fn new(settings: Settings, gate: Gate) -> Self {
-        View { settings, gate, state: Mutex::default(), catch_up: smol::lock::Mutex::new(()) }
+        ClusterView {
+            settings,
+            gate,
+            state: Mutex::default(),
+            fetch_lock: smol::lock::Mutex::new(()),
+        }
     }
 
     /// Version in effect; 0 while there is none.
@@ -79,20 +84,20 @@
     pub fn homes(&self) -> Vec<String> {
         let entries = self.entries();
         if entries.is_empty() {
-            return self.bootstrap();
+            return self.bootstrap_addresses();
         }
         let homes = homes::homes(&self.settings.id, &self.settings.data_centre, &entries);
         homes.into_iter().map(|entry| entry.address.clone()).collect()
     }
 
     /// Addresses in the settings.
-    pub fn bootstrap(&self) -> Vec<String> {
+    pub fn bootstrap_addresses(&self) -> Vec<String> {
         self.settings.entries.iter().take(HOME_ENTRIES).map(ToString::to_string).collect()
     }
 
     /// Takes the answer to an announcement.
-    pub fn learn(&self, reply: AnnounceReply) {
-        self.apply(&reply.config, &reply.entry);
+    pub fn apply_reply(&self, reply: AnnounceReply) {
+        self.apply_config(&reply.config, &reply.entry);
         let mut state = self.state.lock();
         match reply.entries {
             Some(entries) if !entries.is_empty() => state.entries = entries,
@@ -113,35 +118,35 @@
     /// # Errors
     ///
     /// Returns why the request cannot be served.
-    pub async fn require(
+    pub async fn require_config(
         &self,
         version: ConfigVersion,
         entry: &EntryId,
         peers: &Peers,
     ) -> Result<(), RefuseReason> {
         if self.version() < version {
-            let _one = self.catch_up.lock().await;
+            let _guard = self.fetch_lock.lock().await;
             if self.version() < version {
-                self.fetch(entry, peers).await;
+                self.fetch_config(entry, peers).await;
             }
         }
         match self.version() {
-            own if own == 0 || own < version => Err(RefuseReason::NoConfig),
+            current if current == 0 || current < version => Err(RefuseReason::NoConfig),
             _ if self.service().is_none() => Err(RefuseReason::UnknownService),
             _ => Ok(()),
         }
     }
 
-    async fn fetch(&self, entry: &EntryId, peers: &Peers) {
+    async fn fetch_config(&self, entry: &EntryId, peers: &Peers) {
         let known = self.entries().into_iter().find(|address| address.entry == *entry);
         let Some(EntryAddress { address, .. }) = known else {
             return;
         };
         let request = ConfigRequest { version: self.version() };
         let reply: Result<ConfigReply, _> =
-            peers.call(&address, "config", &request, CATCH_UP_LIMIT).await;
+            peers.call(&address, "config", &request, CONFIG_FETCH_TIMEOUT).await;
         match reply {
-            Ok(reply) => self.apply(&reply.update, entry),
+            Ok(reply) => self.apply_config(&reply.update, entry),
             Err(error) => {
                 let WireError { step, peer, detail } = error;
                 tracing::warn!(event = "config_fetch_failed", %step, peer, detail);
@@ -149,21 +154,21 @@
         }
     }
 
-    fn apply(&self, update: &ConfigUpdate, entry: &EntryId) {
+    fn apply_config(&self, update: &ConfigUpdate, entry: &EntryId) {
         let mut state = self.state.lock();
         match state.config.apply_update(update) {
             Ok(false) => {}
             Ok(true) => {
                 tracing::info!(event = "config_applied", version = state.config.version, entry);
                 let service = state.config.document.services.get(&self.settings.service);
-                self.gate.set_limits(limits(service));
+                self.gate.set_limits(service_limits(service));
             }
             Err(error) => tracing::warn!(event = "config_rejected", entry, detail = %error),
         }
     }
 }
 
-fn limits(service: Option<&Service>) -> Limits {
+fn service_limits(service: Option<&Service>) -> Limits {
     match service {
         Some(service) => {
             Limits { slots: service.slots, connections: service.connections, queue: service.queue }
--- a/crates/agent/tests/batch/flow.rs
+++ b/crates/agent/tests/batch/flow.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::support::{attempt, run, start_order, until, Agent, Owner};
+use crate::support::{attempt, run, start_order, wait_until, Agent, Owner};
 use peridotfold_core::message::report::{Outcome, StopOrder};
 use peridotfold_core::resources::Resources;
 use peridotfold_standins::worker::simulation::Switches;
@@ -17,7 +17,7 @@
         let agent = Agent::start(worker.address(), owner.address, 1);
         let id = attempt("job/1 ä", 1, 1);
         owner.state.lock().starts.push(start_order(id.clone(), "work_ms=300"));
-        until("completed", || owner.outcome(&id) == Some(Outcome::Completed)).await;
+        wait_until("completed", || owner.outcome(&id) == Some(Outcome::Completed)).await;
         let client = peridotfold_agent::batch::worker_client::WorkerClient::new(worker.address());
         loop {
             if client.list().await.unwrap().tasks.is_empty() {
@@ -48,10 +48,11 @@
             };
             state.reports.iter().filter(|report| has(&report.results)).count()
         };
-        until("repeated", || repeats() >= 3).await;
+        wait_until("repeated", || repeats() >= 3).await;
         assert!(matches!(owner.outcome(&id), Some(Outcome::Failed { .. })));
         owner.state.lock().acknowledges = true;
-        until("dropped", || owner.state.lock().reports.last().unwrap().results.is_empty()).await;
+        wait_until("dropped", || owner.state.lock().reports.last().unwrap().results.is_empty())
+            .await;
         agent.kill().await;
     });
 }
@@ -67,12 +68,12 @@
         let mut order = start_order(id.clone(), "work_ms=3000");
         order.need = Resources::new(5_000, 1_000, 0);
         owner.state.lock().starts.push(order);
-        until("running", || worker.history().len() == 1).await;
+        wait_until("running", || worker.history().len() == 1).await;
         agent.kill().await;
         owner.state.lock().reports.clear();
 
         let agent = Agent::start(worker.address(), owner.address, 2);
-        until("reported", || !owner.state.lock().reports.is_empty()).await;
+        wait_until("reported", || !owner.state.lock().reports.is_empty()).await;
         let first = owner.state.lock().reports[0].clone();
         assert_eq!((first.incarnation, first.epoch), (2, 1));
         assert_eq!(first.running.len(), 1);
@@ -80,8 +81,9 @@
         let mut order = start_order(second.clone(), "work_ms=10");
         order.need = Resources::new(2_000, 1_000, 0);
         owner.state.lock().starts.push(order);
-        until("refused", || matches!(owner.outcome(&second), Some(Outcome::Refused { .. }))).await;
-        until("completed", || owner.outcome(&id) == Some(Outcome::Completed)).await;
+        wait_until("refused", || matches!(owner.outcome(&second), Some(Outcome::Refused { .. })))
+            .await;
+        wait_until("completed", || owner.outcome(&id) == Some(Outcome::Completed)).await;
         assert_eq!(worker.history().len(), 1);
         agent.kill().await;
     });
@@ -97,9 +99,9 @@
         let agent = Agent::start(worker.address(), owner.address, 1);
         let id = attempt("j", 1, 1);
         owner.state.lock().starts.push(start_order(id.clone(), "work_ms=60000"));
-        until("running", || owner.is_running(&id) && worker.history().len() == 1).await;
+        wait_until("running", || owner.is_running(&id) && worker.history().len() == 1).await;
         owner.state.lock().lease = Duration::ZERO;
-        until("ended", || matches!(owner.outcome(&id), Some(Outcome::Evicted { .. }))).await;
+        wait_until("ended", || matches!(owner.outcome(&id), Some(Outcome::Evicted { .. }))).await;
         let history = worker.history();
         let ran = history[0].end_us.unwrap() - history[0].start_us;
         // One renewal may have been granted just before the leases ended.
@@ -117,11 +119,11 @@
         let agent = Agent::start(worker.address(), owner.address, 1);
         let id = attempt("j", 1, 1);
         owner.state.lock().starts.push(start_order(id.clone(), "work_ms=2000"));
-        until("progress", || worker.history().first().is_some_and(|i| i.progress_end > 200.0))
+        wait_until("progress", || worker.history().first().is_some_and(|i| i.progress_end > 200.0))
             .await;
         let stop = StopOrder { attempt: id.clone(), checkpoint: true };
         owner.state.lock().stops.push(stop);
-        until("stopped", || owner.outcome(&id).is_some()).await;
+        wait_until("stopped", || owner.outcome(&id).is_some()).await;
         let Some(Outcome::Stopped { checkpoint: Some(checkpoint) }) = owner.outcome(&id) else {
             panic!("no checkpoint: {:?}", owner.outcome(&id));
         };
@@ -129,7 +131,7 @@
         let mut order = start_order(next.clone(), "work_ms=2000");
         order.checkpoint = Some(checkpoint);
         owner.state.lock().starts.push(order);
-        until("completed", || owner.outcome(&next) == Some(Outcome::Completed)).await;
+        wait_until("completed", || owner.outcome(&next) == Some(Outcome::Completed)).await;
         let history = worker.history();
         assert_eq!(history.len(), 2);
         assert_eq!(history[0].progress_end, history[1].progress_start);
@@ -149,7 +151,7 @@
         for id in &ids {
             owner.state.lock().starts.push(start_order(id.clone(), "work_ms=60000"));
         }
-        until("running", || worker.history().len() == 2).await;
+        wait_until("running", || worker.history().len() == 2).await;
         agent.trigger.fire();
         agent.running.await;
         for id in &ids {
@@ -173,11 +175,11 @@
         let agent = Agent::start(worker.address(), owner.address, 1);
         let id = attempt("j", 1, 1);
         owner.state.lock().starts.push(start_order(id.clone(), "work_ms=5000"));
-        until("failed", || matches!(owner.outcome(&id), Some(Outcome::Failed { .. }))).await;
+        wait_until("failed", || matches!(owner.outcome(&id), Some(Outcome::Failed { .. }))).await;
         worker.set_switches(Switches { delay_ms: 1_500, ..Switches::default() });
         // Starts are admitted as long as the last list is recent enough.
         let mut number = 1;
-        until("refused", || {
+        wait_until("refused", || {
             let mut state = owner.state.lock();
             if state.starts.is_empty() {
                 number += 1;
--- a/crates/agent/tests/batch/support.rs
+++ b/crates/agent/tests/batch/support.rs
@@ -32,7 +32,7 @@
 }
 
 /// Waits until `condition` holds.
-pub async fn until(what: &str, mut condition: impl FnMut() -> bool) {
+pub async fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let deadline = runtime::now() + WAIT;
     while !condition() {
         assert!(runtime::now() < deadline, "not within {WAIT:?}: {what}");
--- a/crates/agent/tests/batch/worker_contract.rs
+++ b/crates/agent/tests/batch/worker_contract.rs
@@ -13,16 +13,16 @@
 use peridotfold_standins::worker::{Options, Worker};
 use peridotfold_wire::runtime;
 
-struct Api {
+struct WorkerApi {
     worker: Worker,
     client: WorkerClient,
 }
 
-impl Api {
-    async fn start(options: Options) -> Api {
+impl WorkerApi {
+    async fn start(options: Options) -> WorkerApi {
         let worker = Worker::start(options).await.unwrap();
         let client = WorkerClient::new(worker.address());
-        Api { worker, client }
+        WorkerApi { worker, client }
     }
 
     async fn claim(&self, keep: Option<Claim>, epoch: u64) -> Option<ClaimReply> {
@@ -82,7 +82,7 @@
 #[test]
 fn old_and_stopped_tokens_do_not_start() {
     run(async {
-        let api = Api::start(Options::default()).await;
+        let api = WorkerApi::start(Options::default()).await;
         assert_eq!(
             api.start_task(attempt("j", 2, 5), 10_000, "work_ms=20").await,
             ActionResult::Done
@@ -91,9 +91,9 @@
         assert!(matches!(older, ActionResult::Refused(_)));
         let epoch = api.start_task(attempt("j", 1, 9), 10_000, "work_ms=20").await;
         assert!(matches!(epoch, ActionResult::Refused(_)));
-        let barred = attempt("k", 1, 1);
-        assert_eq!(api.perform(Action::Stop(barred.clone())).await, ActionResult::Done);
-        let late = api.start_task(barred, 10_000, "work_ms=20").await;
+        let stopped = attempt("k", 1, 1);
+        assert_eq!(api.perform(Action::Stop(stopped.clone())).await, ActionResult::Done);
+        let late = api.start_task(stopped, 10_000, "work_ms=20").await;
         assert!(matches!(late, ActionResult::Refused(_)));
         assert_eq!(api.worker.history().len(), 1);
     });
@@ -103,7 +103,7 @@
 #[test]
 fn repeated_start_has_no_effect() {
     run(async {
-        let api = Api::start(Options::default()).await;
+        let api = WorkerApi::start(Options::default()).await;
         let id = attempt("j", 1, 1);
         for _ in 0..3 {
             assert_eq!(api.start_task(id.clone(), 10_000, "work_ms=50").await, ActionResult::Done);
@@ -118,7 +118,7 @@
 #[test]
 fn lease_ends_a_task_and_cannot_be_revived() {
     run(async {
-        let api = Api::start(Options::default()).await;
+        let api = WorkerApi::start(Options::default()).await;
         let id = attempt("j", 1, 1);
         let stale = api.list().await;
         assert_eq!(api.start_task(id.clone(), 100, "work_ms=60000").await, ActionResult::Done);
@@ -139,7 +139,7 @@
 #[test]
 fn requests_for_another_instance_are_refused() {
     run(async {
-        let api = Api::start(Options::default()).await;
+        let api = WorkerApi::start(Options::default()).await;
         let instance = api.list().await.instance.wrapping_add(1);
         let leases = Vec::new();
         let renew = Action::Renew { instance, leases, until: Vec::new() };
@@ -151,7 +151,7 @@
 #[test]
 fn only_the_last_claim_starts_tasks() {
     run(async {
-        let api = Api::start(Options::default()).await;
+        let api = WorkerApi::start(Options::default()).await;
         let old = api.claim(None, 0).await.unwrap().claim;
         let new = api.claim(None, 0).await.unwrap().claim;
         assert_eq!(api.list().await.controller, new.controller);
@@ -171,7 +171,7 @@
             usage_factor: 3.0,
             ..Options::default()
         };
-        let api = Api::start(options).await;
+        let api = WorkerApi::start(options).await;
         let id = attempt("j", 1, 1);
         assert_eq!(api.start_task(id.clone(), 60_000, "work_ms=60000").await, ActionResult::Done);
         let task = api.list().await.tasks.remove(0);
@@ -199,7 +199,7 @@
 #[test]
 fn results_stay_until_they_are_removed() {
     run(async {
-        let api = Api::start(Options::default()).await;
+        let api = WorkerApi::start(Options::default()).await;
         let id = attempt("j", 1, 1);
         assert_eq!(api.start_task(id.clone(), 60_000, "work_ms=5000").await, ActionResult::Done);
         let early = api.perform(Action::Remove(id.clone())).await;
@@ -216,7 +216,7 @@
 fn stopping_task_stays_listed_until_it_is_gone() {
     run(async {
         let options = Options { stop_time: Duration::from_millis(200), ..Options::default() };
-        let api = Api::start(options).await;
+        let api = WorkerApi::start(options).await;
         let id = attempt("j", 1, 1);
         assert_eq!(api.start_task(id.clone(), 60_000, "work_ms=5000").await, ActionResult::Done);
         assert_eq!(api.perform(Action::Stop(id.clone())).await, ActionResult::Done);
@@ -231,7 +231,7 @@
 #[test]
 fn claims_keep_the_highest_epoch() {
     run(async {
-        let api = Api::start(Options::default()).await;
+        let api = WorkerApi::start(Options::default()).await;
         let first = api.claim(None, 0).await.unwrap();
         assert_eq!(first.epoch, 0);
         let kept = api.claim(Some(first.claim), 7).await.unwrap();
--- a/crates/agent/tests/keyed.rs
+++ b/crates/agent/tests/keyed.rs
@@ -1,11 +1,11 @@
 //! The key table that an agent hands to a restarted entry.
 
 use bytes::Bytes;
-use peridotfold_agent::keyed::{Entered, Keys};
+use peridotfold_agent::idempotency::{KeyDecision, Keys};
 use peridotfold_core::message::entry::{KeyTableReply, KeyTableRequest};
 
-fn enter(keys: &Keys, key: &'static str, incarnation: u64) -> Entered {
-    keys.enter(&Bytes::from_static(key.as_bytes()), &"entry-1".to_owned(), incarnation)
+fn decide(keys: &Keys, key: &'static str, incarnation: u64) -> KeyDecision {
+    keys.decide(&Bytes::from_static(key.as_bytes()), &"entry-1".to_owned(), incarnation)
 }
 
 /// Guards against a late request of an ended entry that runs after the restarted one has read the
@@ -13,18 +13,18 @@
 #[test]
 fn requests_of_an_ended_entry_are_refused_once_the_table_was_read() {
     let keys = Keys::default();
-    let run = enter(&keys, "one", 1);
-    assert!(matches!(run, Entered::Run(_)), "{run:?}");
+    let run = decide(&keys, "one", 1);
+    assert!(matches!(run, KeyDecision::Run(_)), "{run:?}");
     let request =
         KeyTableRequest { agent_incarnation: 1, entry: "entry-1".into(), ended: 1, after: None };
-    let KeyTableReply::Page { keys: page, more } = keys.read(&request) else {
+    let KeyTableReply::Page { keys: page, more } = keys.read_page(&request) else {
         panic!("the table was not read");
     };
     assert_eq!((page.len(), page[0].running, more), (1, true, false));
-    let late = enter(&keys, "two", 1);
-    assert!(matches!(late, Entered::Ended), "{late:?}");
-    let next = enter(&keys, "two", 2);
-    assert!(matches!(next, Entered::Run(_)), "{next:?}");
-    let known = enter(&keys, "one", 2);
-    assert!(matches!(known, Entered::Join(_)), "{known:?}");
+    let late = decide(&keys, "two", 1);
+    assert!(matches!(late, KeyDecision::Ended), "{late:?}");
+    let next = decide(&keys, "two", 2);
+    assert!(matches!(next, KeyDecision::Run(_)), "{next:?}");
+    let known = decide(&keys, "one", 2);
+    assert!(matches!(known, KeyDecision::Join(_)), "{known:?}");
 }
--- a/crates/agent/tests/requests/answers.rs
+++ b/crates/agent/tests/requests/answers.rs
@@ -9,13 +9,13 @@
 use peridotfold_standins::upstream::Behaviour;
 use peridotfold_wire::http_client::HttpClient;
 
-use crate::support::{collect, first_part, run, service, wait_until, Got, Plan, Setup};
+use crate::support::{collect, first_part, run, service, wait_until, Reply, Setup, SetupOptions};
 
 #[test]
 fn each_lookup_gets_its_own_whole_answer() {
     run(async {
         let behaviour = Behaviour { base_ms: 3.0, jitter: 1.0, ..Behaviour::default() };
-        let setup = Setup::start(Plan { behaviour, ..Plan::default() }).await;
+        let setup = Setup::start(SetupOptions { behaviour, ..SetupOptions::default() }).await;
         for round in 0..10 {
             // Fewer than slots and queue hold: a slot is free only just after its caller has the end.
             let paths: Vec<_> = (0..30).map(|n| format!("/slot/{n}?round={round}")).collect();
@@ -32,7 +32,7 @@
 #[test]
 fn body_of_many_parts_reaches_the_upstream_whole() {
     run(async {
-        let setup = Setup::start(Plan::default()).await;
+        let setup = Setup::start(SetupOptions::default()).await;
         let head = setup.head("POST", "/bid");
         let address = setup.agent.internal().to_string();
         let (mut sender, pending) = setup.peers.open(&address, "request", &head).await.unwrap();
@@ -51,7 +51,7 @@
 #[test]
 fn cut_request_body_is_not_taken_for_a_whole_one() {
     run(async {
-        let setup = Setup::start(Plan::default()).await;
+        let setup = Setup::start(SetupOptions::default()).await;
         let head = setup.head("POST", "/bid");
         let address = setup.agent.internal().to_string();
         let (mut sender, pending) = setup.peers.open(&address, "request", &head).await.unwrap();
@@ -67,12 +67,12 @@
 #[test]
 fn finite_feed_is_whole_and_a_cut_one_is_seen_as_cut() {
     run(async {
-        let setup = Setup::start(Plan::default()).await;
+        let setup = Setup::start(SetupOptions::default()).await;
         let whole = setup.head("GET", "/feed?count=3&period_ms=1");
         assert_eq!(setup.send(&whole, "").await.whole(), "feed 1\nfeed 2\nfeed 3\n");
         let cut = setup.head("GET", "/feed?cut=3&period_ms=1");
         match setup.send(&cut, "").await {
-            Got::Cut { body } => assert!("feed 1\nfeed 2\nfeed 3\n".starts_with(&body)),
+            Reply::Truncated { body } => assert!("feed 1\nfeed 2\nfeed 3\n".starts_with(&body)),
             other => panic!("a cut feed passed for {other:?}"),
         }
     });
@@ -81,7 +81,7 @@
 #[test]
 fn feeds_leave_the_slots_to_others() {
     run(async {
-        let plan = Plan { service: Some(service(1, 4)), ..Plan::default() };
+        let plan = SetupOptions { service: Some(service(1, 4)), ..SetupOptions::default() };
         let setup = Setup::start(plan).await;
         let mut feeds = Vec::new();
         for _ in 0..2 {
@@ -106,8 +106,8 @@
 #[test]
 fn abandoned_lookup_frees_its_slot() {
     run(async {
-        let setup = Setup::start(Plan::default()).await;
-        setup.behave(60_000.0);
+        let setup = Setup::start(SetupOptions::default()).await;
+        setup.set_base_latency(60_000.0);
         let head = setup.head("GET", "/slot/1");
         let (mut sender, receiver) = setup.open(&head, "").await;
         wait_until("upstream runs it", || setup.upstream.running() == 1).await;
@@ -121,7 +121,7 @@
 #[test]
 fn trace_reaches_the_upstream_with_a_span_of_the_agent() {
     run(async {
-        let setup = Setup::start(Plan::default()).await;
+        let setup = Setup::start(SetupOptions::default()).await;
         setup.send(&setup.head("POST", "/bid"), "100").await.whole();
         let traceparent = setup.upstream.executions()[0].traceparent.clone().unwrap();
         let parts: Vec<_> = traceparent.split('-').collect();
@@ -134,7 +134,7 @@
 #[test]
 fn pages_show_health_status_and_metrics() {
     run(async {
-        let setup = Setup::start(Plan::default()).await;
+        let setup = Setup::start(SetupOptions::default()).await;
         setup.send(&setup.head("GET", "/slot/1"), "").await.whole();
         let client = HttpClient::default();
         let get = |path| {
--- a/crates/agent/tests/requests/drain.rs
+++ b/crates/agent/tests/requests/drain.rs
@@ -5,16 +5,18 @@
 use peridotfold_standins::upstream::answers::slot_body;
 use peridotfold_wire::runtime;
 
-use crate::support::{first_part, rest, run, service, wait_until, Plan, Setup};
+use crate::support::{first_part, rest, run, service, wait_until, Setup, SetupOptions};
 
 #[test]
 fn drain_finishes_requests_and_closes_feeds_with_an_end() {
     run(async {
-        let setup = Setup::start(Plan { service: Some(service(2, 8)), ..Plan::default() }).await;
+        let setup =
+            Setup::start(SetupOptions { service: Some(service(2, 8)), ..SetupOptions::default() })
+                .await;
         let feed = setup.head("GET", "/feed?period_ms=5");
         let (_feed_sender, mut feed) = setup.open(&feed, "").await;
         assert_eq!(first_part(&mut feed).await, "feed 1\n");
-        setup.behave(700.0);
+        setup.set_base_latency(700.0);
         let running = setup.spawn(setup.head("GET", "/slot/1"), "");
         setup.wait_load(2, 0).await;
         let queued = setup.spawn(setup.head("GET", "/slot/2"), "");
@@ -48,7 +50,7 @@
 #[test]
 fn drain_ends_although_an_entry_does_not_read_its_feed() {
     run(async {
-        let setup = Setup::start(Plan::default()).await;
+        let setup = Setup::start(SetupOptions::default()).await;
         let feed = setup.head("GET", &format!("/feed?period_ms=0&name={}", "x".repeat(4000)));
         let (_sender, _feed) = setup.open(&feed, "").await;
         let gate = setup.agent.shared().gate.clone();
@@ -62,7 +64,7 @@
 #[test]
 fn idle_agent_stays_until_the_entries_know_that_it_leaves() {
     run(async {
-        let setup = Setup::start(Plan::default()).await;
+        let setup = Setup::start(SetupOptions::default()).await;
         let Setup { agent, entry, .. } = setup;
         agent.drain().await;
         let last = entry.announces.lock().last().unwrap().clone();
--- a/crates/agent/tests/requests/keys.rs
+++ b/crates/agent/tests/requests/keys.rs
@@ -2,20 +2,22 @@
 
 use peridotfold_core::message::request::RefuseReason;
 
-use crate::support::{run, service, wait_until, Got, Plan, Setup};
+use crate::support::{run, service, wait_until, Reply, Setup, SetupOptions};
 
 #[test]
 fn duplicates_join_the_running_request_and_replay_its_answer() {
     run(async {
-        let setup = Setup::start(Plan { service: Some(service(1, 1)), ..Plan::default() }).await;
-        setup.behave(300.0);
+        let setup =
+            Setup::start(SetupOptions { service: Some(service(1, 1)), ..SetupOptions::default() })
+                .await;
+        setup.set_base_latency(300.0);
         let first = setup.spawn(setup.bid("k1"), "100");
         wait_until("first runs", || setup.upstream.running() == 1).await;
         // More than fit in the queue: duplicates take no place.
         let joined: Vec<_> = (0..5).map(|_| setup.spawn(setup.bid("k1"), "100")).collect();
         let first = first.await.whole();
         for task in joined {
-            let expected = Got::Whole { status: 200, body: first.clone(), replayed: true };
+            let expected = Reply::Whole { status: 200, body: first.clone(), replayed: true };
             assert_eq!(task.await, expected);
         }
         assert_eq!(setup.send(&setup.bid("k1"), "100").await.whole(), first);
@@ -31,8 +33,8 @@
 #[test]
 fn duplicates_of_different_keys_get_their_own_answers() {
     run(async {
-        let setup = Setup::start(Plan::default()).await;
-        setup.behave(300.0);
+        let setup = Setup::start(SetupOptions::default()).await;
+        setup.set_base_latency(300.0);
         let bids = [("k1", "100"), ("k2", "200"), ("k3", "300")];
         let first = bids.map(|(key, body)| setup.spawn(setup.bid(key), body));
         wait_until("all run", || setup.upstream.running() == 3).await;
@@ -50,14 +52,14 @@
 #[test]
 fn answer_outlives_the_entry_that_asked_first() {
     run(async {
-        let setup = Setup::start(Plan::default()).await;
-        setup.behave(200.0);
+        let setup = Setup::start(SetupOptions::default()).await;
+        setup.set_base_latency(200.0);
         let (mut sender, receiver) = setup.open(&setup.bid("k1"), "100").await;
         wait_until("first runs", || setup.upstream.running() == 1).await;
         sender.abort();
         drop(receiver);
-        let got = setup.send(&setup.bid("k1"), "100").await;
-        assert!(matches!(got, Got::Whole { status: 200, replayed: true, .. }), "{got:?}");
+        let reply = setup.send(&setup.bid("k1"), "100").await;
+        assert!(matches!(reply, Reply::Whole { status: 200, replayed: true, .. }), "{reply:?}");
         assert_eq!(setup.upstream.executions().len(), 1);
     });
 }
@@ -65,15 +67,15 @@
 #[test]
 fn answer_too_large_to_keep_is_unknown_to_duplicates() {
     run(async {
-        let setup = Setup::start(Plan::default()).await;
+        let setup = Setup::start(SetupOptions::default()).await;
         let large = |setup: &Setup| {
             let mut head = setup.bid("k1");
             head.path = "/bid?answer_bytes=40000".into();
             head
         };
         assert_eq!(setup.send(&large(&setup), "100").await.whole().len(), 40_000);
-        let got = setup.send(&large(&setup), "100").await;
-        assert!(matches!(got, Got::Unknown(_)), "{got:?}");
+        let reply = setup.send(&large(&setup), "100").await;
+        assert!(matches!(reply, Reply::Unknown(_)), "{reply:?}");
         assert_eq!(setup.upstream.executions().len(), 1);
     });
 }
@@ -81,12 +83,14 @@
 #[test]
 fn refused_key_is_free_again() {
     run(async {
-        let setup = Setup::start(Plan { service: Some(service(1, 0)), ..Plan::default() }).await;
-        setup.behave(200.0);
+        let setup =
+            Setup::start(SetupOptions { service: Some(service(1, 0)), ..SetupOptions::default() })
+                .await;
+        setup.set_base_latency(200.0);
         let slow = setup.spawn(setup.head("GET", "/slot/1"), "");
         setup.wait_load(1, 0).await;
-        let got = setup.send(&setup.bid("k1"), "100").await;
-        assert_eq!(got.reason(), RefuseReason::Overloaded);
+        let reply = setup.send(&setup.bid("k1"), "100").await;
+        assert_eq!(reply.reason(), RefuseReason::Overloaded);
         slow.await.whole();
         setup.wait_load(0, 0).await;
         setup.send(&setup.bid("k1"), "100").await.whole();
@@ -99,19 +103,19 @@
 #[test]
 fn key_that_ran_is_never_reported_as_not_run() {
     run(async {
-        let setup = Setup::start(Plan::default()).await;
+        let setup = Setup::start(SetupOptions::default()).await;
         let first = setup.send(&setup.bid("k1"), "100").await.whole();
         let mut ahead = setup.bid("k1");
         ahead.config_version = 9;
         assert_eq!(setup.send(&ahead, "100").await.whole(), first);
         let cancelled = setup.bid("k1");
         setup.cancel(&cancelled.id).await;
-        let got = setup.send(&cancelled, "100").await;
-        assert!(matches!(got, Got::Unknown(_)), "{got:?}");
+        let reply = setup.send(&cancelled, "100").await;
+        assert!(matches!(reply, Reply::Unknown(_)), "{reply:?}");
         setup.agent.shared().gate.leave();
         assert_eq!(setup.send(&setup.bid("k1"), "100").await.whole(), first);
-        let got = setup.send(&setup.bid("k2"), "100").await;
-        assert_eq!(got.reason(), RefuseReason::Leaving);
+        let reply = setup.send(&setup.bid("k2"), "100").await;
+        assert_eq!(reply.reason(), RefuseReason::Leaving);
         assert_eq!(setup.upstream.executions().len(), 1);
     });
 }
--- a/crates/agent/tests/requests/refusals.rs
+++ b/crates/agent/tests/requests/refusals.rs
@@ -11,13 +11,15 @@
 use smol::io::AsyncReadExt;
 use smol::net::TcpListener;
 
-use crate::support::{local, run, service, wait_until, Got, Plan, Setup, SERVICE};
+use crate::support::{loopback, run, service, wait_until, Reply, Setup, SetupOptions, SERVICE};
 
 #[test]
 fn cancelled_in_the_queue_never_runs() {
     run(async {
-        let setup = Setup::start(Plan { service: Some(service(1, 4)), ..Plan::default() }).await;
-        setup.behave(300.0);
+        let setup =
+            Setup::start(SetupOptions { service: Some(service(1, 4)), ..SetupOptions::default() })
+                .await;
+        setup.set_base_latency(300.0);
         let running = setup.head("POST", "/bid");
         let queued = setup.head("POST", "/bid");
         let first = setup.spawn(running.clone(), "first");
@@ -35,7 +37,7 @@
         first.await.whole();
         wait_until("slot is free", || setup.agent.shared().gate.is_idle()).await;
         assert_eq!(setup.cancel(&running.id).await, CancelReply::Done);
-        assert!(matches!(setup.send(&running, "first").await, Got::Unknown(_)));
+        assert!(matches!(setup.send(&running, "first").await, Reply::Unknown(_)));
         assert_eq!(setup.upstream.executions().len(), 1);
     });
 }
@@ -43,13 +45,15 @@
 #[test]
 fn overload_is_refused_with_a_retry_after_time_while_others_wait() {
     run(async {
-        let setup = Setup::start(Plan { service: Some(service(2, 2)), ..Plan::default() }).await;
-        setup.behave(400.0);
+        let setup =
+            Setup::start(SetupOptions { service: Some(service(2, 2)), ..SetupOptions::default() })
+                .await;
+        setup.set_base_latency(400.0);
         let admitted: Vec<_> =
             (0..4).map(|_| setup.spawn(setup.head("GET", "/slot/1"), "")).collect();
         setup.wait_load(2, 2).await;
         match setup.send(&setup.head("GET", "/slot/2"), "").await {
-            Got::NotRun(RefuseReason::Overloaded, after) => assert!(after > Duration::ZERO),
+            Reply::NotRun(RefuseReason::Overloaded, after) => assert!(after > Duration::ZERO),
             other => panic!("{other:?}"),
         }
         let mut late = setup.head("GET", "/slot/3");
@@ -64,8 +68,10 @@
 #[test]
 fn deadline_that_passes_in_the_queue_is_not_run() {
     run(async {
-        let setup = Setup::start(Plan { service: Some(service(1, 4)), ..Plan::default() }).await;
-        setup.behave(60_000.0);
+        let setup =
+            Setup::start(SetupOptions { service: Some(service(1, 4)), ..SetupOptions::default() })
+                .await;
+        setup.set_base_latency(60_000.0);
         let running = setup.head("GET", "/slot/1");
         let _first = setup.spawn(running.clone(), "");
         setup.wait_load(1, 0).await;
@@ -83,8 +89,9 @@
 fn unreachable_upstream_is_not_run() {
     run(async {
         // A port that was just closed.
-        let closed = TcpListener::bind(local()).await.unwrap().local_addr().unwrap();
-        let setup = Setup::start(Plan { upstream: Some(closed), ..Plan::default() }).await;
+        let closed = TcpListener::bind(loopback()).await.unwrap().local_addr().unwrap();
+        let setup =
+            Setup::start(SetupOptions { upstream: Some(closed), ..SetupOptions::default() }).await;
         let head = setup.head("POST", "/bid");
         assert_eq!(setup.send(&head, "x").await.reason(), RefuseReason::UpstreamUnreachable);
         assert_eq!(setup.send(&head, "x").await.reason(), RefuseReason::Duplicate);
@@ -94,7 +101,7 @@
 
 /// Accepts connections, reads a little and closes them.
 async fn closing_upstream() -> SocketAddr {
-    let listener = TcpListener::bind(local()).await.unwrap();
+    let listener = TcpListener::bind(loopback()).await.unwrap();
     let address = listener.local_addr().unwrap();
     runtime::spawn(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
@@ -109,11 +116,11 @@
 fn upstream_that_closes_after_the_request_leaves_it_unknown() {
     run(async {
         let upstream = Some(closing_upstream().await);
-        let setup = Setup::start(Plan { upstream, ..Plan::default() }).await;
+        let setup = Setup::start(SetupOptions { upstream, ..SetupOptions::default() }).await;
         for method in ["POST", "GET"] {
             let head = setup.head(method, "/bid");
-            let got = setup.send(&head, "x").await;
-            assert!(matches!(got, Got::Unknown(_)), "{got:?}");
+            let reply = setup.send(&head, "x").await;
+            assert!(matches!(reply, Reply::Unknown(_)), "{reply:?}");
             assert_eq!(setup.cancel(&head.id).await, CancelReply::Done);
         }
     });
@@ -122,7 +129,7 @@
 #[test]
 fn request_meant_for_another_is_refused() {
     run(async {
-        let setup = Setup::start(Plan::default()).await;
+        let setup = Setup::start(SetupOptions::default()).await;
         let mut head = setup.head("POST", "/bid");
         head.agent_incarnation += 1;
         assert_eq!(setup.send(&head, "x").await.reason(), RefuseReason::WrongIncarnation);
@@ -136,7 +143,7 @@
 #[test]
 fn nothing_is_served_without_configuration() {
     run(async {
-        let setup = Setup::start(Plan { service: None, ..Plan::default() }).await;
+        let setup = Setup::start(SetupOptions { service: None, ..SetupOptions::default() }).await;
         let head = setup.head("GET", "/slot/1");
         assert_eq!(setup.send(&head, "").await.reason(), RefuseReason::NoConfig);
         *setup.entry.announced.lock() = (3, Some(service(8, 32)));
@@ -159,7 +166,7 @@
 #[test]
 fn agent_that_is_behind_catches_up_or_refuses() {
     run(async {
-        let setup = Setup::start(Plan::default()).await;
+        let setup = Setup::start(SetupOptions::default()).await;
         let mut head = setup.head("GET", "/slot/1");
         head.config_version = 2;
         // The entry has no version 2 to give.
--- a/crates/agent/tests/requests/support.rs
+++ b/crates/agent/tests/requests/support.rs
@@ -47,7 +47,7 @@
     }
 }
 
-pub fn local() -> SocketAddr {
+pub fn loopback() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
@@ -119,24 +119,24 @@
 
 /// What the entry got for one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Got {
+pub enum Reply {
     Whole { status: u16, body: String, replayed: bool },
-    Cut { body: String },
+    Truncated { body: String },
     NotRun(RefuseReason, Duration),
     Unknown(String),
 }
 
-impl Got {
+impl Reply {
     pub fn whole(self) -> String {
         match self {
-            Got::Whole { status: 200, body, .. } => body,
+            Reply::Whole { status: 200, body, .. } => body,
             other => panic!("no whole answer: {other:?}"),
         }
     }
 
     pub fn reason(&self) -> RefuseReason {
         match self {
-            Got::NotRun(reason, _) => *reason,
+            Reply::NotRun(reason, _) => *reason,
             other => panic!("not refused: {other:?}"),
         }
     }
@@ -152,7 +152,7 @@
     _stop: Trigger,
 }
 
-pub struct Plan {
+pub struct SetupOptions {
     pub service: Option<Service>,
     pub behaviour: Behaviour,
     pub drain_grace: Duration,
@@ -160,9 +160,9 @@
     pub upstream: Option<SocketAddr>,
 }
 
-impl Default for Plan {
+impl Default for SetupOptions {
     fn default() -> Self {
-        Plan {
+        SetupOptions {
             service: Some(service(8, 32)),
             behaviour: Behaviour { jitter: 0.0, ..Behaviour::default() },
             drain_grace: Duration::from_millis(100),
@@ -172,7 +172,7 @@
 }
 
 impl Setup {
-    pub async fn start(plan: Plan) -> Setup {
+    pub async fn start(plan: SetupOptions) -> Setup {
         let options = Options { behaviour: plan.behaviour, ..Options::default() };
         let upstream = Upstream::start(options).await.unwrap();
         let version = u64::from(plan.service.is_some());
@@ -182,7 +182,7 @@
             announced: Mutex::new((version, plan.service.clone())),
             newest: Mutex::new((version, plan.service)),
         });
-        let server = MessageServer::bind(local()).await.unwrap();
+        let server = MessageServer::bind(loopback()).await.unwrap();
         let entry_address = server.address();
         *entry.address.lock() = Some(entry_address);
         let (stop, stopped) = shutdown::channel();
@@ -192,9 +192,9 @@
             data_centre: "dc1".into(),
             rack: "r1".into(),
             cell: "cell-1".into(),
-            internal: local(),
+            internal: loopback(),
             advertise: None,
-            http: local(),
+            http: loopback(),
             entries: vec![entry_address],
             service: SERVICE.into(),
             upstream: plan.upstream.unwrap_or(upstream.address()),
@@ -246,13 +246,13 @@
         open(&self.peers, &address, head, body).await
     }
 
-    pub async fn send(&self, head: &RequestHead, body: &str) -> Got {
+    pub async fn send(&self, head: &RequestHead, body: &str) -> Reply {
         let (_sender, receiver) = self.open(head, body).await;
         collect(receiver).await
     }
 
     /// Sends a request from another task.
-    pub fn spawn(&self, head: RequestHead, body: &'static str) -> smol::Task<Got> {
+    pub fn spawn(&self, head: RequestHead, body: &'static str) -> smol::Task<Reply> {
         let peers = self.peers.clone();
         let address = self.agent.internal().to_string();
         runtime::spawn(async move {
@@ -267,7 +267,7 @@
         self.peers.call(&address, "cancel", &cancel, WAIT_LIMIT).await.unwrap()
     }
 
-    pub fn behave(&self, base_ms: f64) {
+    pub fn set_base_latency(&self, base_ms: f64) {
         self.upstream.set_behaviour(Behaviour { base_ms, jitter: 0.0, ..Behaviour::default() });
     }
 
@@ -297,20 +297,20 @@
 }
 
 /// Reads an answer to its end.
-pub async fn collect(mut receiver: FrameReceiver) -> Got {
+pub async fn collect(mut receiver: FrameReceiver) -> Reply {
     let read = async {
         // A reset may overtake what was sent before it.
         let Ok(head) = receiver.next::<ResponseHead>().await else {
-            return Got::Cut { body: String::new() };
+            return Reply::Truncated { body: String::new() };
         };
         match head.expect("no head") {
-            ResponseHead::NotRun { reason, retry_after } => Got::NotRun(reason, retry_after),
-            ResponseHead::Unknown { detail } => Got::Unknown(detail),
+            ResponseHead::NotRun { reason, retry_after } => Reply::NotRun(reason, retry_after),
+            ResponseHead::Unknown { detail } => Reply::Unknown(detail),
             ResponseHead::Answer { status, replayed, .. } => {
                 let (body, whole) = read_body(&mut receiver).await;
                 match whole {
-                    true => Got::Whole { status, body, replayed },
-                    false => Got::Cut { body },
+                    true => Reply::Whole { status, body, replayed },
+                    false => Reply::Truncated { body },
                 }
             }
         }
