--- a/crates/agent/src/announce.rs
+++ b/crates/agent/src/announce.rs
@@ -1,4 +1,5 @@
-//! Announcements to the home entries.
+//! Periodic announcements of the agent's state and load to its home entries, the entries that relay
+//! them to all others.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -15,31 +16,33 @@
 
 use crate::shared::Shared;
 
-/// Time between announcements.
+/// Interval between rounds of announcements.
 pub const ANNOUNCE_PERIOD: Duration = Duration::from_secs(1);
-/// Time allowed for one announcement. Shorter than the period, so that a silent entry does not
-/// pile up announcements.
+/// Timeout of one announcement. Shorter than the period, so that announcements to an entry that
+/// does not answer do not accumulate.
 const ANNOUNCE_TIMEOUT: Duration = Duration::from_millis(900);
-/// Rounds without any answer after which the entries of the settings are asked again.
+/// Consecutive rounds without a reply after which announcements also go to the entries in the
+/// settings.
 const SILENT_ROUNDS_LIMIT: u32 = 3;
 
-/// Sends announcements.
+/// Sends the announcements of one agent.
 #[derive(Debug)]
 pub struct Announcer {
     shared: Arc<Shared>,
-    /// Used for announcements only, so that these have their own connection to each entry.
+    /// Connections for announcements only, separate from those of other calls.
     peers: Peers,
+    /// Number of the last announcement.
     sequence: AtomicU64,
-    /// Announcements in flight for each address.
+    /// Number of unanswered announcements by entry address.
     in_flight: Mutex<HashMap<String, u32>>,
-    /// Rounds since the last answer.
+    /// Rounds since the last reply from any entry.
     silent_rounds: Mutex<u32>,
-    /// Addresses that have confirmed that the agent leaves.
+    /// Addresses of entries that have acknowledged that the agent leaves.
     confirmed: Mutex<HashSet<String>>,
 }
 
 impl Announcer {
-    /// Builds an announcer that has sent nothing.
+    /// Creates an announcer that has sent nothing.
     pub fn new(shared: Arc<Shared>) -> Self {
         Announcer {
             shared,
@@ -51,7 +54,8 @@
         }
     }
 
-    /// Announces each second, and at once when the agent begins to leave, until `shutdown`.
+    /// Announces every [`ANNOUNCE_PERIOD`], and immediately when the agent starts to leave, until
+    /// `shutdown`.
     pub async fn run(self: Arc<Self>, shutdown: Shutdown) {
         let mut leave_sent = false;
         while !shutdown.is_set() {
@@ -65,14 +69,14 @@
         }
     }
 
-    /// Tells whether all home entries have confirmed that the agent leaves.
+    /// Tells whether all home entries have acknowledged that the agent leaves.
     pub fn has_left(&self) -> bool {
         let confirmed = self.confirmed.lock();
         self.shared.view.homes().iter().all(|address| confirmed.contains(address))
     }
 
-    /// Starts one announcement to each home entry. Skips entries that have not answered the last
-    /// one, unless `urgent`.
+    /// Starts one announcement to each target entry. Skips entries with an unanswered announcement,
+    /// unless `urgent`.
     fn announce_all(self: Arc<Self>, urgent: bool) {
         for address in self.targets() {
             let busy = self.in_flight.lock().get(&address).copied().unwrap_or_default() > 0;
@@ -84,6 +88,7 @@
         }
     }
 
+    /// Starts a new round and returns the addresses to announce to.
     fn targets(&self) -> Vec<String> {
         let mut targets = self.shared.view.homes();
         let mut silent_rounds = self.silent_rounds.lock();
@@ -97,6 +102,7 @@
         targets
     }
 
+    /// Sends one announcement and applies the reply.
     async fn announce(self: Arc<Self>, address: String) {
         let message = self.message();
         let reply: Result<AnnounceReply, _> =
@@ -124,6 +130,7 @@
         }
     }
 
+    /// Builds an announcement from the current state.
     fn message(&self) -> Announce {
         let shared = &self.shared;
         let settings = &shared.settings;
--- a/crates/agent/src/batch.rs
+++ b/crates/agent/src/batch.rs
@@ -1,8 +1,9 @@
-//! Batch tasks on this VM: keeps the worker in line with the orders of the cell's owner.
+//! Batch tasks on this VM: carries out the orders of the cell's owner on the worker.
 //!
-//! Two loops share the state. One lists the worker's tasks and performs the actions that are due;
-//! the other reports to the owner and takes its orders. The lock of the state is never held across
-//! an await.
+//! The owner is the entry that schedules the tasks of the cell; the worker is the platform's
+//! process on this VM that executes them. Two loops share the state. One lists the worker's tasks
+//! and performs the due actions; the other reports to the owner and receives its orders. The state
+//! lock is never held across an await.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -30,26 +31,32 @@
 
 use worker_client::WorkerClient;
 
-/// Pause between two lists while tasks are there, and while there are none.
+/// Interval between listings of the worker's tasks while it has tasks.
 const POLL_INTERVAL_BUSY: Duration = Duration::from_millis(250);
+/// Interval between listings of the worker's tasks while it has none.
 const POLL_INTERVAL_IDLE: Duration = Duration::from_secs(1);
-/// Requests to the worker at a time.
+/// Maximum number of concurrent requests to the worker.
 const MAX_PARALLEL_ACTIONS: usize = 8;
+/// Interval between steps of the colocation controller, which throttles and evicts batch tasks to
+/// protect the latency of the service.
 const CONTROL_PERIOD: Duration = Duration::from_secs(1);
-/// Assumed lag of the worker's usage and of the smoothed latency.
+/// Assumed delay until a change shows in the worker's usage figures and the smoothed latency.
 const MEASUREMENT_LAG: Duration = Duration::from_secs(2);
-/// Latency to protect before the configuration names one; its own default.
+/// Latency target until the configuration is known. Equals the default of the configuration.
 const DEFAULT_LATENCY_TARGET: Duration = Duration::from_millis(50);
-/// The owner holds a reply for up to 1 s.
+/// Timeout of a report. The owner may delay a reply by up to 1 s.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(3);
-/// Shortest pause between two reports: after orders, and otherwise. Keeps an owner that replies at
-/// once from being called in a tight loop.
+/// Pause after a report whose reply contained orders. Avoids a busy loop when the owner replies
+/// immediately.
 const REPORT_PAUSE_AFTER_ORDERS: Duration = Duration::from_millis(20);
+/// Pause after a report whose reply contained no orders.
 const REPORT_PAUSE: Duration = Duration::from_millis(100);
+/// Pause after a failed report, or while no owner is known.
 const REPORT_RETRY_DELAY: Duration = Duration::from_millis(250);
+/// Interval between checks whether the drain is complete.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Batch tasks of a VM.
+/// Handle to the batch tasks of a VM. Clones share the state.
 #[derive(Debug, Clone)]
 pub struct Batch {
     inner: Arc<Inner>,
@@ -62,8 +69,10 @@
     peers: Arc<Peers>,
     service: ServiceId,
     drain_grace: Duration,
+    /// Wakes the worker loop before its poll interval ends.
     wake_sender: Sender<()>,
     wake_receiver: Receiver<()>,
+    /// Ends [`Batch::run`] after a drain.
     stop_trigger: Trigger,
     stopped: Shutdown,
 }
@@ -72,13 +81,16 @@
 struct State {
     tasks: Tasks,
     colocation: Colocation,
+    /// Time of the next step of the colocation controller.
     next_control: Time,
+    /// Whether the last listing succeeded; a change is logged.
     worker_answers: bool,
+    /// Whether the last report succeeded; a change is logged.
     owner_answers: bool,
 }
 
 impl Batch {
-    /// Builds the state; nothing is contacted before [`Batch::run`].
+    /// Creates the state. Nothing is sent before [`Batch::run`].
     pub fn new(settings: &Settings, incarnation: Incarnation, peers: Arc<Peers>) -> Batch {
         let identity = Identity {
             agent: settings.id.clone(),
@@ -109,8 +121,9 @@
         Batch { inner: Arc::new(inner) }
     }
 
-    /// Runs tasks until the batch work is drained. The signal starts a drain with the grace period
-    /// of the settings, unless [`Batch::drain`] has ended before.
+    /// Runs tasks until they are drained. `shutdown` starts a drain that is limited to the grace
+    /// period in the settings. `document`, `owner` and `latency` return the current configuration,
+    /// owner of the cell and latency of the service.
     pub async fn run(
         &self,
         document: impl Fn() -> Option<Arc<Document>> + Send + Sync + 'static,
@@ -128,8 +141,8 @@
         future::or(future::or(tasks, reports), future::or(inner.stopped.wait(), drained)).await;
     }
 
-    /// Takes checkpoints of all tasks, stops them and hands them back, for at most `limit`; then
-    /// ends [`Batch::run`].
+    /// Checkpoints and stops all tasks and returns them to the owner, for at most `limit`; then ends
+    /// [`Batch::run`].
     pub async fn drain(&self, limit: Duration) {
         let deadline = runtime::now() + limit;
         self.inner.state.lock().tasks.drain();
@@ -148,10 +161,11 @@
 
 impl Inner {
     fn wake_worker_loop(&self) {
-        // A full channel means that the loop is about to run anyway.
+        // When the channel is full, a wake-up is already pending.
         let _ = self.wake_sender.try_send(());
     }
 
+    /// Lists the worker's tasks and performs the due actions, forever.
     async fn worker_loop(
         self: &Arc<Self>,
         document: impl Fn() -> Option<Arc<Document>>,
@@ -174,6 +188,7 @@
         }
     }
 
+    /// Sends a claim to the worker if one is due, then updates the state from its list of tasks.
     async fn refresh_tasks(&self) -> Result<(), WireError> {
         let request = self.state.lock().tasks.claim_request();
         if let Some(request) = request {
@@ -193,6 +208,7 @@
         Ok(())
     }
 
+    /// Sleeps for `duration` or until woken.
     async fn sleep_or_wake(&self, duration: Duration) {
         let woken = async {
             let _ = self.wake_receiver.recv().await;
@@ -200,6 +216,8 @@
         future::or(runtime::sleep(duration), woken).await;
     }
 
+    /// Applies the configuration, runs the colocation controller if due, and returns the due
+    /// actions.
     fn due_actions(&self, document: Option<Arc<Document>>, latency: Duration) -> Vec<Action> {
         let mut state = self.state.lock();
         let now = runtime::now();
@@ -214,8 +232,8 @@
         state.tasks.actions(now)
     }
 
-    /// Performs actions in order, several at a time. Ends early when the worker does not answer:
-    /// the rest is due again after the next list.
+    /// Performs actions in order, up to [`MAX_PARALLEL_ACTIONS`] at a time. Stops when the worker
+    /// does not answer; the remaining actions are due again after the next listing.
     async fn perform_all(self: &Arc<Self>, actions: Vec<Action>) {
         for group in actions.chunks(MAX_PARALLEL_ACTIONS) {
             let started: Vec<smol::Task<bool>> = group
@@ -235,9 +253,10 @@
         }
     }
 
-    /// Performs one action; tells whether the worker answered.
+    /// Performs one action. Returns whether the worker answered, or `true` if the action is no
+    /// longer due.
     async fn perform(&self, action: Action) -> bool {
-        // The clock is read here, after any pause since the decision.
+        // Time may have passed since the action was chosen, so the clock is read again.
         if !self.state.lock().tasks.begin(runtime::now(), &action) {
             return true;
         }
@@ -254,6 +273,7 @@
         answered
     }
 
+    /// Reports to the owner forever.
     async fn report_loop(&self, owner: impl Fn() -> Option<CellOwner>) {
         loop {
             let pause = match owner() {
@@ -264,12 +284,14 @@
         }
     }
 
-    /// Sends one report and obeys the reply; returns the pause before the next one.
+    /// Sends one report and applies the orders in the reply. Returns the pause before the next
+    /// report.
     async fn report(&self, owner: &CellOwner) -> Duration {
         let report = {
             let mut state = self.state.lock();
             let pressure = state.colocation.pressure_percent();
-            // The lease counts from this time, which is before the report is sent.
+            // The lease starts at this time, before the report is sent, so it cannot outlast the
+            // lease that the owner assumes.
             state.tasks.report(runtime::now(), pressure)
         };
         let Some(report) = report else { return REPORT_PAUSE };
@@ -299,6 +321,7 @@
 }
 
 impl State {
+    /// Feeds a latency sample to the colocation controller and applies its decision.
     fn adjust_colocation(
         &mut self,
         now: Time,
@@ -319,6 +342,7 @@
         self.tasks.set_colocation(self.colocation.speeds(), self.colocation.blocked_classes(now));
     }
 
+    /// Returns the CPU use and number of running tasks by job class.
     fn class_loads(&self, document: &Document) -> BTreeMap<String, ClassLoad> {
         let mut loads = BTreeMap::new();
         for (_, class, usage) in self.tasks.running() {
@@ -332,6 +356,7 @@
     }
 }
 
+/// Tells whether the reply contains anything to act on.
 fn has_orders(orders: &Orders) -> bool {
     !(orders.starts.is_empty() && orders.stops.is_empty() && orders.acknowledged.is_empty())
 }
--- a/crates/agent/src/batch/log.rs
+++ b/crates/agent/src/batch/log.rs
@@ -1,11 +1,11 @@
-//! Log lines and metrics of batch work.
+//! Log lines and metrics of batch tasks.
 
 use peridotfold_core::colocation::{Colocation, Decision};
 use peridotfold_core::message::report::AttemptId;
 use peridotfold_core::tasks::{Action, Tasks};
 use peridotfold_wire::error::WireError;
 
-/// Logs and counts the transitions since the last call.
+/// Logs and counts the task events since the last call.
 pub fn transitions(tasks: &mut Tasks) {
     for event in tasks.take_events() {
         metrics::counter!("peridotfold_batch_events_total", "event" => event.name).increment(1);
@@ -23,7 +23,7 @@
     }
 }
 
-/// Sets the gauges.
+/// Updates the gauges of batch tasks and of the colocation controller.
 pub fn gauges(tasks: &Tasks, colocation: &Colocation) {
     let ledger = tasks.ledger();
     let (reserved, free) = (ledger.reserved(), ledger.free());
@@ -37,7 +37,7 @@
         .set(f64::from(colocation.pressure_percent()));
 }
 
-/// Logs a decision of the colocation controller.
+/// Logs and counts a decision of the colocation controller.
 pub fn decision(decision: &Decision, colocation: &Colocation) {
     let (name, class, speed) = match decision {
         Decision::Throttle { class, speed_percent } => ("class_throttled", class, *speed_percent),
@@ -50,7 +50,7 @@
     tracing::info!(event = name, class, speed_percent = speed, pressure_percent, score);
 }
 
-/// Logs that an action on the worker failed; it is repeated while it is due.
+/// Logs and counts a failed action on the worker. The action is retried while it is due.
 pub fn action_failed(action: &Action, error: &WireError) {
     let name = match action {
         Action::Start(_) => "start",
@@ -70,14 +70,14 @@
     );
 }
 
-/// Logs the change to a worker that answers.
+/// Records that the worker answers, and logs it if the worker did not answer before.
 pub fn worker_reachable(reachable: &mut bool) {
     if !std::mem::replace(reachable, true) {
         tracing::info!(event = "worker_reachable");
     }
 }
 
-/// Counts a failed list, and logs the change to a worker that does not answer.
+/// Counts a failed listing, and logs it if the worker answered before.
 pub fn worker_failed(reachable: &mut bool, error: &WireError) {
     metrics::counter!("peridotfold_worker_errors_total", "action" => "list").increment(1);
     if std::mem::replace(reachable, false) {
@@ -90,14 +90,14 @@
     }
 }
 
-/// Logs the change to an owner that answers.
+/// Records that the owner answers, and logs it if the owner did not answer before.
 pub fn owner_reachable(reachable: &mut bool) {
     if !std::mem::replace(reachable, true) {
         tracing::info!(event = "cell_owner_reachable");
     }
 }
 
-/// Counts a failed report, and logs the change to an owner that does not answer.
+/// Counts a failed report, and logs it if the owner answered before.
 pub fn report_failed(reachable: &mut bool, error: &WireError) {
     metrics::counter!("peridotfold_report_errors_total").increment(1);
     if std::mem::replace(reachable, false) {
--- a/crates/agent/src/batch/worker_client.rs
+++ b/crates/agent/src/batch/worker_client.rs
@@ -1,4 +1,4 @@
-//! Client of the platform's worker API.
+//! HTTP client of the platform's worker API, through which the agent controls the tasks on its VM.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,7 +16,8 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-/// The worker is on the same VM; a longer silence means that it is paused or gone.
+/// Timeout of a request. The worker is on the same VM, so a longer delay means that it is suspended
+/// or has stopped.
 const WORKER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Client of the worker API at one address.
@@ -27,31 +28,32 @@
 }
 
 impl WorkerClient {
-    /// Builds a client that connects on first use.
+    /// Creates a client that connects on first use.
     pub fn new(address: SocketAddr) -> Self {
         WorkerClient { address, http: HttpClient::default() }
     }
 
-    /// Address of the worker API.
+    /// Returns the address of the worker API.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Lists the worker's tasks and results.
+    /// Lists the worker's running and ended tasks.
     ///
     /// # Errors
     ///
-    /// Fails when the worker does not answer in time or not as agreed.
+    /// Fails when the worker does not answer in time or its response is invalid.
     pub async fn list(&self) -> Result<WorkerList, WireError> {
         let response = self.send(Method::GET, "/v1/tasks", Bytes::new()).await?;
         self.read(&response)
     }
 
-    /// Claims the right to start tasks; earlier claims end. `None`: the claim to keep is lost.
+    /// Claims the exclusive right to start tasks, which revokes earlier claims, or keeps the claim
+    /// named in `request`. Returns `None` if that claim was revoked.
     ///
     /// # Errors
     ///
-    /// Fails when the worker does not answer in time or not as agreed.
+    /// Fails when the worker does not answer in time or its response is invalid.
     pub async fn claim(&self, request: &ClaimRequest) -> Result<Option<ClaimReply>, WireError> {
         let response = self.post("/v1/claim", request).await?;
         match response.status() {
@@ -60,6 +62,7 @@
         }
     }
 
+    /// Decodes the body of a response with status 200.
     fn read<T: DeserializeOwned>(&self, response: &Response<Bytes>) -> Result<T, WireError> {
         match response.status() {
             StatusCode::OK => self.decode(response.body()),
@@ -67,8 +70,8 @@
         }
     }
 
-    /// Performs an action. Returns its effect, and the checkpoint if one was taken; the error is
-    /// for the log.
+    /// Performs an action. Returns its result, the checkpoint if one was taken, and the error to log
+    /// if the action failed.
     pub async fn perform(
         &self,
         action: &Action,
@@ -96,6 +99,7 @@
         }
     }
 
+    /// Sends the request of an action.
     async fn send_action(&self, action: &Action) -> Result<Response<Bytes>, WireError> {
         let path = |id: &AttemptId, verb: &str| format!("/v1/tasks/{}{verb}", task_path_id(id));
         match action {
--- a/crates/agent/src/gate.rs
+++ b/crates/agent/src/gate.rs
@@ -1,4 +1,5 @@
-//! The admission core with the requests that wait on it.
+//! Asynchronous front of [`Admission`]: lets requests wait for a slot and signals cancellations to
+//! them.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,34 +13,39 @@
 use peridotfold_wire::runtime;
 use peridotfold_wire::shutdown::{self, Shutdown, Trigger};
 
-/// Result of a request for admission that was not granted.
+/// Reason why a request was not admitted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Rejection {
-    /// Certainly not run.
+    /// The request was refused and has not run.
     Refused(Refusal),
-    /// The id was used before; its first copy may have run.
+    /// The request ID was used before; an earlier copy may have run.
     Repeated,
 }
 
+/// Channels to one queued or running request.
 #[derive(Debug)]
 struct RequestSignals {
+    /// Sends `None` to start a queued request, or the refusal.
     decision: Sender<Option<Refusal>>,
+    /// Fired when a running request is cancelled.
     abort: Trigger,
 }
 
 #[derive(Debug)]
 struct State {
     admission: Admission,
+    /// Channels to the queued and running requests.
     signals: HashMap<RequestId, RequestSignals>,
 }
 
-/// Admission of the requests to one upstream.
+/// Admission control of the requests to one upstream. Clones share the state.
 #[derive(Debug, Clone)]
 pub struct Gate {
     state: Arc<Mutex<State>>,
 }
 
-/// A started request. Dropping it without [`Permit::end`] counts as a failure.
+/// Permission of an admitted request to run. Dropping it without [`Permit::end`] ends the request
+/// as failed.
 #[derive(Debug)]
 pub struct Permit {
     gate: Gate,
@@ -49,17 +55,17 @@
 }
 
 impl Gate {
-    /// Builds the admission of an upstream without requests.
+    /// Creates the gate of an upstream without requests.
     pub fn new(limits: Limits) -> Self {
         let state = State { admission: Admission::new(limits), signals: HashMap::new() };
         Gate { state: Arc::new(Mutex::new(state)) }
     }
 
-    /// Waits for a slot until the deadline, or until `gone` returns.
+    /// Waits for a slot until the deadline, or until `disconnected` completes.
     ///
     /// # Errors
     ///
-    /// Returns why the request is not started.
+    /// Returns the reason if the request is not admitted.
     pub async fn admit(
         &self,
         id: &RequestId,
@@ -82,11 +88,12 @@
         self.wait(permit, decision, deadline, disconnected).await
     }
 
-    /// Admits a request that uses neither slot nor connection.
+    /// Admits a request that needs neither a slot nor a connection, because it shares the answer of
+    /// another request with the same idempotency key.
     ///
     /// # Errors
     ///
-    /// Returns why the request is not admitted.
+    /// Returns the reason if the request is not admitted.
     pub fn join(&self, id: &RequestId) -> Result<Permit, Rejection> {
         let mut state = self.state.lock();
         match state.admission.join(runtime::now(), id) {
@@ -96,7 +103,8 @@
         }
     }
 
-    /// Refuses a request for a reason found elsewhere.
+    /// Refuses a request for a reason that the caller found, and records its ID so that later copies
+    /// are refused as well.
     pub fn refuse(&self, id: &RequestId, reason: RefuseReason) -> Rejection {
         match self.state.lock().admission.refuse(runtime::now(), id, reason) {
             Offer::Refused(refusal) => Rejection::Refused(refusal),
@@ -104,7 +112,7 @@
         }
     }
 
-    /// Gives up a request.
+    /// Cancels a request.
     pub fn cancel(&self, id: &RequestId) -> CancelReply {
         let mut state = self.state.lock();
         let (reply, actions) = state.admission.cancel(runtime::now(), id);
@@ -112,14 +120,14 @@
         reply
     }
 
-    /// Changes the limits.
+    /// Changes the limits, and starts queued requests that fit.
     pub fn set_limits(&self, limits: Limits) {
         let mut state = self.state.lock();
         let actions = state.admission.set_limits(runtime::now(), limits);
         state.perform(actions);
     }
 
-    /// Refuses new requests from now on.
+    /// Starts draining: refuses new requests; queued and running requests continue.
     pub fn leave(&self) {
         self.state.lock().admission.leave();
     }
@@ -129,11 +137,12 @@
         self.state.lock().admission.is_idle()
     }
 
-    /// Load as announced to entries.
+    /// Returns the load as announced to entries.
     pub fn load(&self) -> Load {
         self.state.lock().admission.load(runtime::now())
     }
 
+    /// Creates the permit of a request and the channel on which its admission is decided.
     fn register(&self, state: &mut State, id: &RequestId) -> (Permit, Receiver<Option<Refusal>>) {
         let (sender, decision) = async_channel::bounded(1);
         let (abort, aborted) = shutdown::channel();
@@ -142,6 +151,7 @@
         (permit, decision)
     }
 
+    /// Waits until a queued request is started or refused.
     async fn wait(
         &self,
         permit: Permit,
@@ -155,19 +165,20 @@
             self.tick();
             future::pending().await
         };
-        let cancel = async {
+        let abandon = async {
             disconnected.await;
             self.cancel(&id);
             future::pending().await
         };
-        match future::or(decision.recv(), future::or(expire, cancel)).await {
+        match future::or(decision.recv(), future::or(expire, abandon)).await {
             Ok(None) => Ok(permit),
             Ok(Some(refusal)) => Err(Rejection::Refused(refusal)),
-            // The sender is kept until the permit is dropped.
+            // Not reached: the sender exists until the permit is dropped.
             Err(_) => Err(Rejection::Repeated),
         }
     }
 
+    /// Refuses queued requests whose deadline has passed.
     fn tick(&self) {
         let mut state = self.state.lock();
         let actions = state.admission.tick(runtime::now());
@@ -176,6 +187,7 @@
 }
 
 impl State {
+    /// Passes the actions to the requests concerned.
     fn perform(&mut self, actions: Vec<Action>) {
         for action in actions {
             let (id, decision) = match action {
@@ -189,7 +201,7 @@
                 }
             };
             if let Some(signals) = self.signals.get(&id) {
-                // One decision is made for each queued request, and the channel has room for it.
+                // Never full: each queued request gets one decision, and the channel holds one.
                 let _ = signals.decision.try_send(decision);
             }
         }
@@ -197,19 +209,19 @@
 }
 
 impl Permit {
-    /// Returns the signal that the entry gave the request up.
+    /// Returns the signal that is set when the entry cancels the request.
     pub fn aborted(&self) -> Shutdown {
         self.aborted.clone()
     }
 
-    /// Gives back the slot while the response stays open.
+    /// Releases the slot of a request whose response is streamed.
     pub fn detach(&self) {
         let mut state = self.gate.state.lock();
         let actions = state.admission.detach(runtime::now(), &self.id);
         state.perform(actions);
     }
 
-    /// Ends the request.
+    /// Ends the request with the given result.
     pub fn end(mut self, ending: Ending) {
         self.ending = ending;
     }
@@ -220,7 +232,7 @@
         let mut state = self.gate.state.lock();
         state.signals.remove(&self.id);
         if state.admission.is_queued(&self.id) {
-            // Nobody is left to take the slot.
+            // The request was dropped while queued, so it must not be given a slot.
             state.admission.cancel(runtime::now(), &self.id);
             return;
         }
--- a/crates/agent/src/http.rs
+++ b/crates/agent/src/http.rs
@@ -11,21 +11,23 @@
 
 use crate::shared::Shared;
 
+/// Renders the process's metrics; `None` when the recorder could not be installed.
 static METRICS: OnceLock<Option<PrometheusHandle>> = OnceLock::new();
 
-/// Answers the operators' and the platform's HTTP requests.
+/// Serves the health, metrics and status pages to operators and the platform.
 #[derive(Debug)]
 pub struct StatusPages {
     shared: Arc<Shared>,
 }
 
 impl StatusPages {
-    /// Builds the pages and installs the recorder of the process's metrics.
+    /// Creates the pages and installs the metrics recorder of the process.
     pub fn new(shared: Arc<Shared>) -> Self {
         recorder();
         StatusPages { shared }
     }
 
+    /// Returns status 200 if the agent has a configuration and is not leaving, else 503.
     fn health(&self) -> Response<Body> {
         match () {
             () if self.shared.leaving.is_set() => {
@@ -38,6 +40,7 @@
         }
     }
 
+    /// Updates the load gauges and returns all metrics in Prometheus format.
     fn metrics(&self) -> Response<Body> {
         let load = self.shared.gate.load();
         metrics::gauge!("peridotfold_running").set(load.running);
@@ -48,6 +51,7 @@
         text(StatusCode::OK, recorder().map(PrometheusHandle::render).unwrap_or_default())
     }
 
+    /// Returns the state of the agent as JSON.
     fn status(&self) -> Response<Body> {
         let shared = &self.shared;
         let load = shared.gate.load();
@@ -88,8 +92,8 @@
     }
 }
 
-/// Returns the recorder of the process, installing it at the first call. `None` when another one
-/// was installed before.
+/// Returns the handle to the metrics recorder, which the first call installs. `None` if the process
+/// already had another recorder.
 fn recorder() -> Option<&'static PrometheusHandle> {
     METRICS.get_or_init(|| PrometheusBuilder::new().install_recorder().ok()).as_ref()
 }
--- a/crates/agent/src/idempotency.rs
+++ b/crates/agent/src/idempotency.rs
@@ -1,4 +1,5 @@
-//! The key table with the duplicates that wait for a running request.
+//! Idempotency keys of the agent: the key table, and the duplicate requests that wait for the
+//! outcome of a running one.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -14,32 +15,38 @@
 #[derive(Debug, Default)]
 struct State {
     table: KeyTable,
+    /// Channels to the duplicates that wait for the outcome of a running key.
     waiters: HashMap<Bytes, Vec<Sender<Outcome>>>,
-    /// Incarnations of entries that have ended and whose keys were taken over. Kept for the life of
-    /// the process: a copy may be on its way for any time, and entries restart rarely.
+    /// Ended incarnations of entries whose keys were recovered. Never removed: a delayed request may
+    /// arrive at any time, and entries restart rarely.
     ended_entries: HashSet<(EntryId, Incarnation)>,
 }
 
-/// Idempotency keys of this agent.
+/// Idempotency keys of this agent. Clones share the table.
 #[derive(Debug, Clone, Default)]
 pub struct Keys {
     state: Arc<Mutex<State>>,
 }
 
-/// What to do with a request that has a key.
+/// Decision about a request with an idempotency key.
 #[derive(Debug)]
 pub enum KeyDecision {
+    /// The request must be run, and its outcome recorded in the [`KeyRun`].
     Run(KeyRun),
-    /// Yields the outcome of the running request.
+    /// Another request with the key is running; the receiver yields its outcome.
     Join(Receiver<Outcome>),
+    /// The key has run; its kept response answers the request.
     Replay(Arc<Answer>),
+    /// The key may have run, but no response is kept.
     Unknown,
+    /// The key table is full, and the key was not run.
     Full,
-    /// The entry's process has ended, and another one knows its keys without this one.
+    /// The sending incarnation of the entry has ended, and its successor has recovered its keys
+    /// without this one.
     Ended,
 }
 
-/// The one run of a key. Dropping it without [`KeyRun::settle`] leaves the outcome unknown.
+/// The only run of a key. Dropping it without [`KeyRun::settle`] records an unknown outcome.
 #[derive(Debug)]
 pub struct KeyRun {
     keys: Keys,
@@ -48,7 +55,7 @@
 }
 
 impl Keys {
-    /// Decides about a request with `key` from an incarnation of an entry.
+    /// Decides about a request with `key` that an incarnation of an entry sent.
     pub fn decide(&self, key: &Bytes, entry: &EntryId, incarnation: Incarnation) -> KeyDecision {
         let mut state = self.state.lock();
         if state.ended_entries.contains(&(entry.clone(), incarnation)) {
@@ -70,8 +77,9 @@
         }
     }
 
-    /// Returns a page of the table, which names each key that may have run for the ended
-    /// incarnation of an entry: its later requests are refused from now on.
+    /// Returns a page of the key table to the successor of an ended incarnation of an entry. Further
+    /// requests of the ended incarnation are refused, so the pages contain each of its keys that
+    /// may have run.
     pub fn read_page(&self, request: &KeyTableRequest) -> KeyTableReply {
         let mut state = self.state.lock();
         state.ended_entries.insert((request.entry.clone(), request.ended));
@@ -79,19 +87,19 @@
         KeyTableReply::Page { keys, more }
     }
 
-    /// Number of keys in the table.
+    /// Returns the number of keys in the table.
     pub fn len(&self) -> usize {
         self.state.lock().table.len()
     }
 
-    /// Tells whether the table has no keys.
+    /// Tells whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 }
 
 impl KeyRun {
-    /// Ends the run.
+    /// Records the outcome of the run and passes it to the waiting duplicates.
     pub fn settle(mut self, outcome: Outcome) {
         self.outcome = outcome;
     }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,4 +1,5 @@
-//! The agent process: admission of requests to the upstream beside it, and batch tasks of its VM.
+//! The agent process, which runs on each VM. It admits requests from entries, the front-end
+//! processes, to the upstream on the VM, and runs the VM's batch tasks.
 
 pub mod announce;
 pub mod batch;
@@ -33,16 +34,16 @@
 use crate::settings::Settings;
 use crate::shared::Shared;
 
-/// Time allowed to hand back batch tasks.
+/// Maximum duration of the drain of batch tasks.
 const BATCH_DRAIN_TIMEOUT: Duration = Duration::from_secs(20);
-/// Time allowed to close connections after all requests have ended.
+/// Maximum time to close connections after all requests have ended.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time allowed for the home entries to confirm that the agent leaves.
+/// Maximum wait for the home entries to acknowledge that the agent leaves.
 const LEAVE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time after the confirmations in which requests that were already on their way are refused
-/// properly. A request that meets a closed connection instead might have an unknown outcome.
+/// Time after the acknowledgements during which requests still in transit are refused. If they met
+/// a closed connection instead, their outcome might be unknown.
 const LEAVE_LINGER: Duration = Duration::from_millis(250);
-/// Time between two looks at whether the requests have ended.
+/// Interval between checks whether the requests have ended and the entries have acknowledged.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Runs an agent until SIGTERM, then drains it.
@@ -66,14 +67,17 @@
     announcer: Arc<Announcer>,
     http: SocketAddr,
     internal: SocketAddr,
+    /// Starts the announcement that the agent leaves.
     leaving: Trigger,
+    /// Closes streaming responses.
     close_streams: Trigger,
+    /// Stops the servers and background tasks.
     stop: Trigger,
     tasks: Vec<Task<()>>,
 }
 
 impl Agent {
-    /// Binds the addresses and starts to serve and to announce.
+    /// Binds the addresses, and starts the servers, announcements and batch tasks.
     ///
     /// # Errors
     ///
@@ -112,22 +116,23 @@
         Ok(Agent { shared, batch, announcer, http, internal, leaving, close_streams, stop, tasks })
     }
 
-    /// Address for health and metrics.
+    /// Returns the bound address for health, metrics and status.
     pub fn http(&self) -> SocketAddr {
         self.http
     }
 
-    /// Address for messages.
+    /// Returns the bound address for messages from entries.
     pub fn internal(&self) -> SocketAddr {
         self.internal
     }
 
-    /// State of the agent.
+    /// Returns the shared state of the agent.
     pub fn shared(&self) -> &Arc<Shared> {
         &self.shared
     }
 
-    /// Takes nothing new, finishes what runs, hands back batch tasks and stops.
+    /// Refuses new requests, finishes admitted ones, returns batch tasks to the owner of the cell
+    /// and stops the agent.
     pub async fn drain(self) {
         tracing::info!(event = "drain_started", agent = self.shared.settings.id);
         self.shared.gate.leave();
@@ -152,7 +157,8 @@
         tracing::info!(event = "drain_ended", agent = self.shared.settings.id);
     }
 
-    /// Waits until no entry sends requests any more.
+    /// Waits until entries send no more requests: the home entries have acknowledged that the agent
+    /// leaves, or [`LEAVE_TIMEOUT`] has passed, and then [`LEAVE_LINGER`].
     async fn wait_left(&self) {
         let limit = runtime::now() + LEAVE_TIMEOUT;
         while !self.announcer.has_left() && runtime::now() < limit {
@@ -161,6 +167,7 @@
         runtime::sleep(LEAVE_LINGER).await;
     }
 
+    /// Waits until no request is queued or running.
     async fn wait_idle(&self) {
         while !self.shared.gate.is_idle() {
             runtime::sleep(DRAIN_POLL_INTERVAL).await;
@@ -168,6 +175,7 @@
     }
 }
 
+/// Runs batch tasks with the configuration, owner and latency of the shared state.
 async fn run_batch(batch: Batch, shared: Arc<Shared>, shutdown: Shutdown) {
     let (document, owner, latency) = (shared.clone(), shared.clone(), shared);
     batch
--- a/crates/agent/src/messages.rs
+++ b/crates/agent/src/messages.rs
@@ -1,4 +1,4 @@
-//! Messages of entries to this agent.
+//! Handler of the messages that entries send to this agent.
 
 use std::sync::Arc;
 
@@ -20,38 +20,47 @@
 }
 
 impl MessageHandler {
-    /// Builds a handler.
+    /// Creates a handler on the agent's state.
     pub fn new(shared: Arc<Shared>) -> Self {
         MessageHandler { shared }
     }
 
+    /// Cancels a request.
     async fn cancel(&self, mut stream: Stream) -> Result<(), WireError> {
         match stream.receiver.next::<Cancel>().await? {
             Some(cancel) => stream.responder.reply(&self.shared.gate.cancel(&cancel.id)).await,
-            None => stream.responder.refuse(StatusCode::BAD_REQUEST, "no message".into()),
+            None => stream
+                .responder
+                .refuse(StatusCode::BAD_REQUEST, "the stream contains no message".into()),
         }
     }
 }
 
 impl MessageHandler {
+    /// Returns a page of the key table to a restarted entry.
     async fn key_table(&self, mut stream: Stream) -> Result<(), WireError> {
         match stream.receiver.next::<KeyTableRequest>().await? {
             Some(request) if request.agent_incarnation == self.shared.incarnation => {
                 stream.responder.reply(&self.shared.keys.read_page(&request)).await
             }
             Some(_) => stream.responder.reply(&KeyTableReply::Restarted).await,
-            None => stream.responder.refuse(StatusCode::BAD_REQUEST, "no message".into()),
+            None => stream
+                .responder
+                .refuse(StatusCode::BAD_REQUEST, "the stream contains no message".into()),
         }
     }
 
-    /// Answers an entry that is behind, such as one that was cut off and knows no other entry.
+    /// Returns the configuration to an entry with an older version, such as one that was partitioned
+    /// and knows no other entry.
     async fn config(&self, mut stream: Stream) -> Result<(), WireError> {
         match stream.receiver.next::<ConfigRequest>().await? {
             Some(request) => {
                 let update = self.shared.view.update_since(request.version);
                 stream.responder.reply(&ConfigReply { update }).await
             }
-            None => stream.responder.refuse(StatusCode::BAD_REQUEST, "no message".into()),
+            None => stream
+                .responder
+                .refuse(StatusCode::BAD_REQUEST, "the stream contains no message".into()),
         }
     }
 }
@@ -64,7 +73,7 @@
             "config" => self.config(stream).await,
             "keytable" => self.key_table(stream).await,
             kind => {
-                let detail = format!("unknown kind {kind}");
+                let detail = format!("unknown message kind {kind}");
                 stream.responder.refuse(StatusCode::NOT_FOUND, detail)
             }
         }
--- a/crates/agent/src/relay.rs
+++ b/crates/agent/src/relay.rs
@@ -1,4 +1,7 @@
-//! Passing a response body from the upstream to the entry.
+//! Relaying a response body from the upstream to the entry.
+//!
+//! A response of unknown length that lasts longer than [`STREAM_AFTER`] counts as a streaming
+//! response. It releases its admission slot, and is closed after the grace period of a drain.
 
 use std::time::Duration;
 
@@ -16,53 +19,61 @@
 
 use crate::gate::Permit;
 
-/// Time after which a response of unknown length counts as a feed and gives its slot back.
+/// Time after which a response of unknown length counts as a streaming response, and after which a
+/// response that the entry is slow to receive releases its slot.
 const STREAM_AFTER: Duration = Duration::from_secs(1);
-/// Silence after which the last chunk of a feed is taken to be complete.
+/// Time without data after which the last chunk of a streaming response counts as complete.
 const CHUNK_IDLE_TIMEOUT: Duration = Duration::from_millis(200);
-/// Time within which a feed that is being closed has to come to the end of a chunk or line, and
-/// the entry has to take what was sent.
+/// Time within which a streaming response that is being closed must reach the end of a chunk or
+/// line, and the entry must accept the data sent.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time within which the entry has to take a part of a finite response, once the agent drains and
-/// the grace period is over. Without a bound a stalled caller would hold up the stop for ever.
+/// Time within which the entry must accept a part of a response of known length after the grace
+/// period of a drain. Without this limit a stalled caller would block the drain forever.
 const STALL_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time allowed for the body of an answer to a request with a key. Such a request is not given up
-/// when its entry goes, so nothing else ends the wait for an upstream that stopped halfway.
+/// Timeout of the response body of a request with an idempotency key. Such a request continues when
+/// its entry disconnects, so nothing else ends the wait for an upstream that stopped halfway.
 const KEPT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A response body that was kept.
+/// A response body that was read to its end.
 pub enum KeptBody {
     Whole(Bytes),
+    /// Not kept, for example because it exceeds [`ANSWER_LIMIT`].
     TooLarge,
 }
 
+/// What ended the wait for the next part of the body.
 enum Event {
     Data(Bytes),
     End,
+    /// The upstream or the entry failed, or the request was aborted.
     Truncated,
-    /// Time to look at the clock and the signals.
+    /// A timer or the signal to close streams fired, so the relay must check its state.
     Check,
 }
 
-/// Passes one response body on.
+/// Relays one response body.
 pub struct Relay<'a> {
     body: PooledBody,
     sink: &'a mut FrameSender,
     permit: &'a Permit,
+    /// Set when streaming responses must be closed.
     close_streams: &'a Shutdown,
-    /// Ends the relay when a cancellation does; `None` when the request has to go on.
+    /// Set when the request is cancelled; `None` if it must continue regardless.
     aborted: Option<Shutdown>,
+    /// The body has no known length.
     unknown_length: bool,
+    /// Time at which a body of unknown length becomes a streaming response.
     stream_at: Time,
     is_stream: bool,
-    /// When the feed has to be closed; `None` while it need not.
+    /// Time by which the streaming response must be closed, once closing has started.
     close_deadline: Option<Time>,
+    /// The last part sent ended with a newline, so the response may be closed here.
     at_line_end: bool,
 }
 
 impl<'a> Relay<'a> {
-    /// Builds the relay of a response whose head was sent.
+    /// Creates the relay of a response whose head was sent to the entry.
     pub fn new(
         body: PooledBody,
         sink: &'a mut FrameSender,
@@ -84,7 +95,7 @@
         }
     }
 
-    /// Passes the body on. Returns `None` when it was cut.
+    /// Relays the body. Returns `None` if it was truncated.
     pub async fn run(mut self) -> Option<()> {
         loop {
             if self.check() {
@@ -100,8 +111,9 @@
         }
     }
 
-    /// Passes the body on while the entry takes it, and reads it to its end in any case. Returns
-    /// `None` when it was cut or took longer than [`KEPT_LIMIT`].
+    /// Reads the body to its end, and relays it as long as the entry accepts it. `reachable` tells
+    /// whether the entry accepted the head. Returns `None` if the body was truncated or took longer
+    /// than [`KEPT_TIMEOUT`].
     pub async fn run_kept(self, reachable: bool) -> Option<KeptBody> {
         future::or(self.relay_and_keep(reachable), async {
             runtime::sleep(KEPT_TIMEOUT).await;
@@ -110,6 +122,7 @@
         .await
     }
 
+    /// Implements [`Relay::run_kept`] without the timeout.
     async fn relay_and_keep(mut self, mut reachable: bool) -> Option<KeptBody> {
         let mut kept = Some(BytesMut::new());
         loop {
@@ -129,7 +142,8 @@
         Some(kept.map_or(KeptBody::TooLarge, |kept| KeptBody::Whole(kept.freeze())))
     }
 
-    /// Updates what depends on the clock and the signals. Tells whether the feed can be closed.
+    /// Updates the state from the clock and the close signal: detaches a response that has become a
+    /// stream and starts to close it. Tells whether the response may be closed now.
     fn check(&mut self) -> bool {
         let now = runtime::now();
         if self.unknown_length && !self.is_stream && now >= self.stream_at {
@@ -142,6 +156,7 @@
         self.close_deadline.is_some_and(|limit| self.at_line_end || now >= limit)
     }
 
+    /// Waits for the next part of the body or another event.
     async fn next(&mut self) -> Event {
         let until_stream = self.stream_at.saturating_sub(runtime::now());
         let closing = self.close_deadline.is_some();
@@ -174,8 +189,8 @@
         future::or(frame, future::or(entry_gone, timer)).await
     }
 
-    /// Sends one part. Gives the slot back when the entry is slow to take it, and gives up when it
-    /// does not take it while the agent drains.
+    /// Sends one part. Releases the slot if the entry is slow to accept it. Returns `None` if the
+    /// request is aborted, the entry disconnects or stalls while the agent drains.
     async fn send(&mut self, part: Bytes) -> Option<()> {
         if part.is_empty() {
             return Some(());
@@ -202,6 +217,7 @@
     }
 }
 
+/// Waits for the signal, or forever if there is none.
 async fn wait_aborted(aborted: Option<Shutdown>) {
     match aborted {
         Some(aborted) => aborted.wait().await,
--- a/crates/agent/src/request.rs
+++ b/crates/agent/src/request.rs
@@ -1,4 +1,5 @@
-//! One request of an entry: checks, admission, the call of the upstream, the answer.
+//! Serving one request from an entry: checks, idempotency key, admission, call of the upstream, and
+//! response.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -28,17 +29,20 @@
 use crate::shared::Shared;
 use crate::upstream::forwarded_headers;
 
-/// Least time that a non-idempotent request is given, since giving it up loses its outcome.
+/// Minimum timeout of the upstream's response to a non-idempotent request. A timeout leaves the
+/// outcome of such a request unknown.
 const MIN_NON_IDEMPOTENT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Serves one `request` stream.
 ///
 /// # Errors
 ///
-/// Fails when the entry resets the stream or sends something else than a request.
+/// Fails when the entry resets the stream or the message is not a valid request.
 pub async fn serve(shared: &Arc<Shared>, mut stream: Stream) -> Result<(), WireError> {
     let Some(head) = stream.receiver.next::<RequestHead>().await? else {
-        return stream.responder.refuse(StatusCode::BAD_REQUEST, "no message".into());
+        return stream
+            .responder
+            .refuse(StatusCode::BAD_REQUEST, "the stream contains no message".into());
     };
     let trace = TraceContext { trace: head.trace.trace, span: fastrand::u64(1..) };
     let span = tracing::info_span!(
@@ -56,22 +60,24 @@
     exchange.run().instrument(span).await
 }
 
+/// A request and the stream on which it is answered.
 struct Exchange {
     shared: Arc<Shared>,
     head: RequestHead,
     trace: TraceContext,
     deadline: Time,
-    /// Taken by the upload of a body with several parts.
+    /// The request body. `None` once a task forwards it to the upstream.
     receiver: Option<RequestBody>,
     sink: FrameSender,
 }
 
-/// What is left to do for the entry after the request ended.
+/// Last message to the entry, sent after the request has ended.
 enum FinalStep {
-    /// A whole answer went out, except for its end.
+    /// The whole answer was sent, except for its end frame.
     End,
-    /// The answer was cut.
+    /// The answer was truncated, so the stream must be reset.
     Truncated,
+    /// The response consists of this head only.
     Head(ResponseHead),
 }
 
@@ -87,8 +93,8 @@
         let RequestId { entry, incarnation, .. } = &self.head.id;
         match self.shared.keys.decide(&key, entry, *incarnation) {
             KeyDecision::Run(run) => self.run_key(run).await,
-            // From here on the key has run or may still: it must not be reported as not run for
-            // reasons that concern this copy only.
+            // In the next three cases the key has run or may still run. A duplicate must not be
+            // reported as not run for reasons that apply only to the duplicate.
             KeyDecision::Join(outcome) => self.join(outcome).await,
             KeyDecision::Replay(answer) => self.replay(Outcome::Answered(answer)).await,
             KeyDecision::Unknown => self.replay(Outcome::Unknown).await,
@@ -97,19 +103,22 @@
         }
     }
 
+    /// Refuses the request.
     async fn refuse(self, reason: RefuseReason) -> Result<(), WireError> {
         let rejection = self.shared.gate.refuse(&self.head.id, reason);
         send_final_head(self.sink, rejection_head(rejection)).await
     }
 
+    /// Runs the request and records the outcome of its key.
     async fn run_key(mut self, run: KeyRun) -> Result<(), WireError> {
         let (finish, permit, outcome) = self.execute(true).await;
-        // Settled before the caller sees the end, so that a retry after it finds the answer.
+        // Recorded before the caller sees the end of the answer, so that a later retry finds it.
         run.settle(outcome);
         complete(self.sink, finish, permit).await
     }
 
-    /// Waits for the outcome of the running request with the same key.
+    /// Answers a duplicate with the outcome of the running request with the same key, or as unknown
+    /// when the deadline passes first.
     async fn join(mut self, outcome: Receiver<Outcome>) -> Result<(), WireError> {
         let permit = match self.shared.gate.join(&self.head.id) {
             Ok(permit) => permit,
@@ -128,6 +137,7 @@
         result
     }
 
+    /// Answers a duplicate with the recorded outcome of its key.
     async fn replay(self, outcome: Outcome) -> Result<(), WireError> {
         let Ok(permit) = self.shared.gate.join(&self.head.id) else {
             return send_outcome(self.sink, Outcome::Unknown).await;
@@ -138,8 +148,8 @@
         result
     }
 
-    /// Admits and runs the request. With `keep`, the answer is kept and read to its end also when
-    /// the entry has gone.
+    /// Admits and runs the request. With `keep_answer`, the answer is kept, and read to its end even
+    /// if the entry disconnects.
     async fn execute(
         &mut self,
         keep_answer: bool,
@@ -169,11 +179,12 @@
         }
     }
 
-    /// Reads the start of the request's body and leaves the rest to a task.
+    /// Reads the first frame of the request body, and starts a task that forwards the rest.
     async fn open_body(&mut self) -> Result<Body, WireError> {
         let remaining = self.deadline.saturating_sub(runtime::now());
         let peer = self.head.id.entry.clone();
-        let truncated = || WireError::new(Step::Receive, peer.as_str(), "request body was cut");
+        let truncated =
+            || WireError::new(Step::Receive, peer.as_str(), "request body was truncated");
         let mut receiver = self.receiver.take().ok_or_else(truncated)?;
         match runtime::timeout(remaining, &peer, receiver.next()).await? {
             Some(BodyFrame::End) => {
@@ -189,6 +200,9 @@
         }
     }
 
+    /// Calls the upstream. An idempotent request is abandoned when the entry cancels it or
+    /// disconnects, or when the deadline passes. Other requests are abandoned only at the deadline,
+    /// and not before [`MIN_NON_IDEMPOTENT_TIMEOUT`].
     async fn call(
         &mut self,
         permit: &Permit,
@@ -203,11 +217,12 @@
         let aborted = permit.aborted();
         let abandoned = async {
             future::or(self.sink.closed(), aborted.wait()).await;
-            Err(WireError::new(Step::Receive, peer.as_str(), "given up by the entry"))
+            Err(WireError::new(Step::Receive, peer.as_str(), "cancelled by the entry"))
         };
         runtime::timeout(remaining, &peer, future::or(call, abandoned)).await
     }
 
+    /// Relays the upstream's response to the entry.
     async fn relay(
         &mut self,
         permit: Permit,
@@ -242,13 +257,16 @@
         (finish, Some((permit, ending)), outcome)
     }
 
+    /// Tells whether the request may be abandoned: its method is idempotent, and it has no key whose
+    /// outcome must be recorded.
     fn is_idempotent(&self) -> bool {
         let idempotent = ["GET", "HEAD", "OPTIONS", "PUT", "DELETE"];
         self.head.key.is_none() && idempotent.contains(&self.head.method.as_str())
     }
 }
 
-/// Passes the rest of a request's body on. The body is cut when the stream is.
+/// Forwards a request body to the upstream, starting with `first`. If the stream from the entry
+/// ends early, the body is truncated, so the upstream does not take it for complete.
 async fn upload(mut receiver: RequestBody, mut sender: BodySender, first: Bytes) {
     let mut part = first;
     loop {
@@ -263,6 +281,8 @@
     }
 }
 
+/// Logs a failed call of the upstream. The request has not run if nothing was sent; otherwise its
+/// outcome is unknown.
 fn upstream_failure(
     permit: Permit,
     error: WireError,
@@ -279,6 +299,7 @@
     (FinalStep::Head(head), Some((permit, Ending::Failed)), Outcome::Unknown)
 }
 
+/// Returns the response to a request that was not admitted.
 fn rejection_head(rejection: Rejection) -> ResponseHead {
     match rejection {
         Rejection::Refused(Refusal { reason, retry_after }) => {
@@ -292,9 +313,10 @@
     }
 }
 
-/// Sends the end of an answer, then gives back what the request holds: an agent that drains waits
-/// for that before it closes its connections. A refusal is the other way round, so that an entry
-/// that has it finds the request ended.
+/// Sends the last message and ends the request. The end of an answer is sent before the permit is
+/// released, since a draining agent closes its connections once all permits are released. A
+/// response without a body is sent after the release, so that the request has ended when the entry
+/// receives it.
 async fn complete(
     mut sink: FrameSender,
     finish: FinalStep,
@@ -323,17 +345,19 @@
     }
 }
 
+/// Sends a response that consists of a head only.
 async fn send_final_head(mut sink: FrameSender, head: ResponseHead) -> Result<(), WireError> {
     sink.send(&head).await?;
     sink.finish()
 }
 
+/// Sends the end of an answer.
 async fn send_end(sink: &mut FrameSender) -> Result<(), WireError> {
     sink.send(&BodyFrame::End).await?;
     sink.finish()
 }
 
-/// Answers a duplicate of a key with its outcome.
+/// Answers a duplicate with the outcome of its key.
 async fn send_outcome(mut sink: FrameSender, outcome: Outcome) -> Result<(), WireError> {
     let answer = match outcome {
         Outcome::Answered(answer) => answer,
--- a/crates/agent/src/request_body.rs
+++ b/crates/agent/src/request_body.rs
@@ -1,4 +1,4 @@
-//! The request body of a stream.
+//! Receiving the body of a request from an entry.
 
 use std::time::Duration;
 
@@ -8,19 +8,19 @@
 use peridotfold_wire::peer::FrameReceiver;
 use peridotfold_wire::runtime;
 
-/// Time for which a body that is not wanted is read.
+/// Time for which the rest of an unused body is read.
 const DISCARD_LIMIT: Duration = Duration::from_secs(1);
 
-/// Receives the request body. The rest is read and discarded when it is dropped: `h2` resets a
-/// stream whose answer ends before the request did, and the entry would see a failure to send
-/// instead of the answer.
+/// Receives the request body. On drop, a task reads and discards the rest: `h2` resets a stream
+/// whose response ends before the request, and the entry would see a send error instead of the
+/// response.
 #[derive(Debug)]
 pub struct RequestBody {
     receiver: Option<FrameReceiver>,
 }
 
 impl RequestBody {
-    /// Builds the body that follows the head of a request.
+    /// Creates the body from a receiver whose request head was read.
     pub fn new(receiver: FrameReceiver) -> Self {
         RequestBody { receiver: Some(receiver) }
     }
@@ -29,7 +29,7 @@
     ///
     /// # Errors
     ///
-    /// As [`FrameReceiver::next`].
+    /// Same as [`FrameReceiver::next`].
     pub async fn next(&mut self) -> Result<Option<BodyFrame>, WireError> {
         match &mut self.receiver {
             Some(receiver) => receiver.next().await,
--- a/crates/agent/src/shared.rs
+++ b/crates/agent/src/shared.rs
@@ -16,35 +16,35 @@
 use crate::upstream::Upstream;
 use crate::view::ClusterView;
 
-/// State that the tasks of an agent share. Lock order: view, gate; the others are never
-/// held together.
+/// State that the async tasks of an agent share. Lock order: `view`, then `gate`; no other locks
+/// are held together.
 #[derive(Debug)]
 pub struct Shared {
     pub settings: Settings,
     pub incarnation: Incarnation,
-    /// Address for messages, with the port that is in use.
+    /// Address that the agent announces to entries for messages.
     pub address: SocketAddr,
     pub view: ClusterView,
     pub gate: Gate,
     pub keys: Keys,
     pub upstream: Upstream,
-    /// Connections to entries for anything but announcements.
+    /// Connections to entries for all calls except announcements.
     pub peers: Arc<Peers>,
-    /// The agent takes no new requests.
+    /// Set when the agent drains and accepts no new requests.
     pub leaving: Shutdown,
-    /// Responses without a known end are closed.
+    /// Set when streaming responses must be closed.
     pub close_streams: Shutdown,
 }
 
 impl Shared {
-    /// Builds the state of an agent that listens on `address`.
+    /// Creates the state of an agent that announces `address` to entries.
     pub fn new(
         settings: Settings,
         address: SocketAddr,
         leaving: Shutdown,
         close_streams: Shutdown,
     ) -> Self {
-        // Nothing is admitted before the configuration sets the limits.
+        // No request is admitted until the configuration sets the limits.
         let gate = Gate::new(Limits { slots: 0, connections: 0, queue: 0 });
         Shared {
             incarnation: fastrand::u64(1..),
@@ -60,12 +60,12 @@
         }
     }
 
-    /// Takes the answer to an announcement.
+    /// Applies the reply to an announcement.
     pub fn apply_reply(&self, reply: AnnounceReply) {
         self.view.apply_reply(reply);
     }
 
-    /// Returns why a request is not meant for this process, if it is not.
+    /// Returns the refusal reason if a request is meant for another process or service.
     pub fn target_mismatch(&self, head: &RequestHead) -> Option<RefuseReason> {
         match () {
             () if head.agent_incarnation != self.incarnation => {
@@ -76,8 +76,8 @@
         }
     }
 
-    /// Returns why the configuration does not allow a request to run, if it does not. Fetches the
-    /// configuration first when the agent is behind the entry.
+    /// Returns the refusal reason if the configuration does not allow a request to run. Fetches the
+    /// configuration first if the request was routed with a newer version.
     pub async fn config_refusal(&self, head: &RequestHead) -> Option<RefuseReason> {
         self.view.require_config(head.config_version, &head.id.entry, &self.peers).await.err()
     }
--- a/crates/agent/src/upstream.rs
+++ b/crates/agent/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Calls of the upstream beside this agent.
+//! Client of the upstream: the HTTP server on the same VM to which the agent forwards requests.
 
 use std::net::SocketAddr;
 
@@ -11,7 +11,8 @@
 use peridotfold_wire::http_client::{HttpClient, PooledBody};
 
 const TRACEPARENT: &str = "traceparent";
-/// Headers that concern one connection (RFC 9110, section 7.6.1), and those set anew.
+/// Headers that are not forwarded: hop-by-hop headers (RFC 9110, section 7.6.1), and `Host`, which
+/// is set to the upstream's address.
 const STRIPPED_HEADERS: [HeaderName; 9] = [
     header::CONNECTION,
     header::HOST,
@@ -24,7 +25,7 @@
     HeaderName::from_static("keep-alive"),
 ];
 
-/// The HTTP server that this agent gives requests to.
+/// Client of the upstream.
 #[derive(Debug, Clone)]
 pub struct Upstream {
     client: HttpClient,
@@ -32,12 +33,13 @@
 }
 
 impl Upstream {
-    /// Builds a client of the upstream at `address`.
+    /// Creates a client of the upstream at `address`.
     pub fn new(address: SocketAddr) -> Self {
         Upstream { client: HttpClient::default(), address }
     }
 
-    /// Sends a request and returns the head of the response with its body still arriving.
+    /// Sends a request and returns the response once its head has arrived; the body is still being
+    /// received.
     ///
     /// # Errors
     ///
@@ -74,7 +76,7 @@
     }
 }
 
-/// Returns the headers of a response to pass on.
+/// Returns the headers of a response without the hop-by-hop headers.
 pub fn forwarded_headers(mut headers: HeaderMap) -> Vec<(Bytes, Bytes)> {
     remove_connection_headers(&mut headers);
     let copy = |(name, value): (&HeaderName, &HeaderValue)| {
@@ -83,6 +85,7 @@
     headers.iter().map(copy).collect()
 }
 
+/// Removes the hop-by-hop headers, including those listed in `Connection`, and `Host`.
 fn remove_connection_headers(headers: &mut HeaderMap) {
     let listed: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -96,6 +99,7 @@
     }
 }
 
+/// Formats the W3C `traceparent` header value.
 fn traceparent(trace: TraceContext) -> String {
     format!("00-{:032x}-{:016x}-01", trace.trace, trace.span)
 }
--- a/crates/agent/src/view.rs
+++ b/crates/agent/src/view.rs
@@ -1,4 +1,5 @@
-//! What the agent knows from entries: configuration, live entries and the owner of its cell.
+//! The agent's view of the cluster, as received from entries: configuration, live entries and the
+//! owner of its cell, which is the entry that schedules the cell's batch tasks.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,7 +18,7 @@
 use crate::gate::Gate;
 use crate::settings::Settings;
 
-/// Time allowed for the configuration that a request needs.
+/// Timeout for fetching the configuration that a request requires.
 const CONFIG_FETCH_TIMEOUT: Duration = Duration::from_millis(500);
 
 #[derive(Debug, Default)]
@@ -27,19 +28,19 @@
     owner: Option<CellOwner>,
 }
 
-/// What the agent knows from entries.
+/// Configuration, live entries and cell owner that the agent has received from entries.
 #[derive(Debug)]
 pub struct ClusterView {
     settings: Settings,
-    /// Its limits change together with the configuration.
+    /// Admission gate whose limits follow the configuration.
     gate: Gate,
     state: Mutex<State>,
-    /// Lets one request at a time fetch the configuration.
+    /// Held while a request fetches the configuration, so that only one fetch runs at a time.
     fetch_lock: smol::lock::Mutex<()>,
 }
 
 impl ClusterView {
-    /// Builds a view without configuration.
+    /// Creates a view without configuration.
     pub fn new(settings: Settings, gate: Gate) -> Self {
         ClusterView {
             settings,
@@ -49,38 +50,39 @@
         }
     }
 
-    /// Version in effect; 0 while there is none.
+    /// Returns the version of the configuration in effect, or 0 if there is none.
     pub fn version(&self) -> ConfigVersion {
         self.state.lock().config.version
     }
 
-    /// Returns what a process at `version` lacks.
+    /// Returns the update that brings a process at `version` to the current configuration.
     pub fn update_since(&self, version: ConfigVersion) -> ConfigUpdate {
         self.state.lock().config.update_since(version)
     }
 
-    /// Document in effect.
+    /// Returns the configuration in effect.
     pub fn document(&self) -> Option<Arc<Document>> {
         let state = self.state.lock();
         (state.config.version > 0).then(|| state.config.document.clone())
     }
 
-    /// Configuration of the service of this agent.
+    /// Returns the configuration of this agent's service.
     pub fn service(&self) -> Option<Service> {
         self.document()?.services.get(&self.settings.service).cloned()
     }
 
-    /// Owner of the agent's cell with the highest epoch heard of.
+    /// Returns the owner of the agent's cell with the highest known epoch.
     pub fn owner(&self) -> Option<CellOwner> {
         self.state.lock().owner.clone()
     }
 
-    /// Entries heard of last.
+    /// Returns the live entries from the last reply that listed them.
     pub fn entries(&self) -> Vec<EntryAddress> {
         self.state.lock().entries.clone()
     }
 
-    /// Addresses to announce to: the home entries, or those in the settings while none are known.
+    /// Returns the addresses of the home entries, or of the entries in the settings while no entry
+    /// is known.
     pub fn homes(&self) -> Vec<String> {
         let entries = self.entries();
         if entries.is_empty() {
@@ -90,12 +92,12 @@
         homes.into_iter().map(|entry| entry.address.clone()).collect()
     }
 
-    /// Addresses in the settings.
+    /// Returns the addresses of up to [`HOME_ENTRIES`] entries in the settings.
     pub fn bootstrap_addresses(&self) -> Vec<String> {
         self.settings.entries.iter().take(HOME_ENTRIES).map(ToString::to_string).collect()
     }
 
-    /// Takes the answer to an announcement.
+    /// Applies the reply to an announcement. Ignores an owner with an older epoch.
     pub fn apply_reply(&self, reply: AnnounceReply) {
         self.apply_config(&reply.config, &reply.entry);
         let mut state = self.state.lock();
@@ -112,12 +114,12 @@
         }
     }
 
-    /// Checks that the agent can serve a request that was routed with `version`, and fetches the
-    /// configuration from the entry when it is behind.
+    /// Checks that the agent can serve a request that was routed with configuration `version`.
+    /// Fetches the configuration from the entry if the agent's version is older.
     ///
     /// # Errors
     ///
-    /// Returns why the request cannot be served.
+    /// Returns the reason if the request cannot be served.
     pub async fn require_config(
         &self,
         version: ConfigVersion,
@@ -137,6 +139,8 @@
         }
     }
 
+    /// Fetches the configuration from an entry and applies it. Does nothing if the entry's address
+    /// is not known.
     async fn fetch_config(&self, entry: &EntryId, peers: &Peers) {
         let known = self.entries().into_iter().find(|address| address.entry == *entry);
         let Some(EntryAddress { address, .. }) = known else {
@@ -154,6 +158,7 @@
         }
     }
 
+    /// Applies a configuration update and sets the limits of the gate.
     fn apply_config(&self, update: &ConfigUpdate, entry: &EntryId) {
         let mut state = self.state.lock();
         match state.config.apply_update(update) {
@@ -168,6 +173,7 @@
     }
 }
 
+/// Returns the admission limits of a service, which are zero if it is not configured.
 fn service_limits(service: Option<&Service>) -> Limits {
     match service {
         Some(service) => {
--- a/crates/agent/tests/batch/flow.rs
+++ b/crates/agent/tests/batch/flow.rs
@@ -1,4 +1,4 @@
-//! Batch work from the owner's order to its result, over the real codecs.
+//! Tests of batch tasks from the owner's order to the result, over real network connections.
 
 use std::time::Duration;
 
@@ -8,7 +8,8 @@
 use peridotfold_standins::worker::simulation::Switches;
 use peridotfold_standins::worker::{Options, Worker};
 
-/// Guards against orders that get lost on the way to the worker or results on the way back.
+/// Guards against start orders that are lost before they reach the worker, and results that are
+/// lost on the way to the owner.
 #[test]
 fn ordered_task_runs_and_its_result_is_removed_after_the_acknowledgement() {
     run(async {
@@ -31,7 +32,8 @@
     });
 }
 
-/// Guards against results that are dropped while the owner cannot commit them.
+/// Guards against results that the agent drops before the owner has committed and acknowledged
+/// them.
 #[test]
 fn result_is_repeated_until_it_is_acknowledged() {
     run(async {
@@ -57,7 +59,8 @@
     });
 }
 
-/// Guards against a restarted agent that loses running tasks or admits over them.
+/// Guards against a restarted agent that loses running tasks, or starts new ones on the resources
+/// that they use.
 #[test]
 fn restarted_agent_adopts_running_tasks_before_it_reports() {
     run(async {
@@ -89,7 +92,8 @@
     });
 }
 
-/// Guards against tasks that run on after the owner may have started them elsewhere.
+/// Guards against tasks that continue after their lease expired, when the owner may have started
+/// them elsewhere.
 #[test]
 fn worker_ends_a_task_whose_lease_is_not_renewed() {
     run(async {
@@ -104,13 +108,13 @@
         wait_until("ended", || matches!(owner.outcome(&id), Some(Outcome::Evicted { .. }))).await;
         let history = worker.history();
         let ran = history[0].end_us.unwrap() - history[0].start_us;
-        // One renewal may have been granted just before the leases ended.
+        // One renewal may have been granted just before the owner stopped renewing.
         assert!(ran < 5_000_000, "ran for {ran} us");
         agent.kill().await;
     });
 }
 
-/// Guards against stops that drop work, and against a resumption that repeats or skips work.
+/// Guards against a stop that loses progress, and a resumption that repeats or skips work.
 #[test]
 fn stopped_task_resumes_from_its_checkpoint() {
     run(async {
@@ -140,7 +144,7 @@
     });
 }
 
-/// Guards against a planned stop that leaves tasks to the end of their leases.
+/// Guards against a drain that leaves tasks running until their leases expire.
 #[test]
 fn drain_hands_all_tasks_back_and_ends() {
     run(async {
@@ -165,7 +169,8 @@
     });
 }
 
-/// Guards against an agent that takes work which its worker fails or does not answer to.
+/// Guards against an agent that does not report tasks that its worker fails, or accepts tasks while
+/// the worker does not respond.
 #[test]
 fn faulty_worker_is_reported() {
     run(async {
@@ -177,7 +182,7 @@
         owner.state.lock().starts.push(start_order(id.clone(), "work_ms=5000"));
         wait_until("failed", || matches!(owner.outcome(&id), Some(Outcome::Failed { .. }))).await;
         worker.set_switches(Switches { delay_ms: 1_500, ..Switches::default() });
-        // Starts are admitted as long as the last list is recent enough.
+        // Starts are accepted while the last listing of the worker's tasks is recent enough.
         let mut number = 1;
         wait_until("refused", || {
             let mut state = owner.state.lock();
--- a/crates/agent/tests/batch/main.rs
+++ b/crates/agent/tests/batch/main.rs
@@ -1,4 +1,4 @@
-//! Tests of batch work on a VM against the stand-in worker, over the real codecs.
+//! Tests of batch tasks on a VM, with the stand-in worker and real network connections.
 
 mod flow;
 mod support;
--- a/crates/agent/tests/batch/support.rs
+++ b/crates/agent/tests/batch/support.rs
@@ -1,4 +1,4 @@
-//! A cell owner and settings for tests of batch work.
+//! Test setup for batch tasks: a stand-in cell owner and an agent.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -21,17 +21,17 @@
 use peridotfold_wire::server::{Handler, MessageServer, Stream};
 use peridotfold_wire::shutdown::{self, Trigger};
 
-/// Longest wait for a condition; far above what any of them needs.
+/// Timeout of each wait. Far above the expected times, since it only ends a test that hangs.
 const WAIT: Duration = Duration::from_secs(20);
 
-/// Runs a test on the pool of threads.
+/// Runs a test on the thread pool.
 pub fn run<T>(test: impl std::future::Future<Output = T>) -> T {
     static THREADS: Once = Once::new();
     THREADS.call_once(|| runtime::start_threads(2));
     smol::block_on(test)
 }
 
-/// Waits until `condition` holds.
+/// Waits until `condition` holds; panics with `what` after [`WAIT`].
 pub async fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let deadline = runtime::now() + WAIT;
     while !condition() {
@@ -40,10 +40,12 @@
     }
 }
 
+/// Returns the ID of an attempt of task 0 of a job.
 pub fn attempt(job: &str, epoch: u64, number: u64) -> AttemptId {
     AttemptId { job: job.into(), task: 0, token: Token { epoch, number } }
 }
 
+/// Returns an order to start an attempt with `command`.
 pub fn start_order(id: AttemptId, command: &str) -> StartOrder {
     StartOrder {
         attempt: id,
@@ -56,19 +58,20 @@
     }
 }
 
-/// What the owner orders in its next reply, and what it has seen.
+/// Orders for the owner's next reply, and the reports and outcomes that it has received.
 #[derive(Debug, Default)]
 pub struct OwnerState {
     pub epoch: u64,
     pub lease: Duration,
     pub starts: Vec<StartOrder>,
     pub stops: Vec<StopOrder>,
+    /// Whether the owner acknowledges results.
     pub acknowledges: bool,
     pub reports: Vec<Report>,
     pub outcomes: BTreeMap<AttemptId, Outcome>,
 }
 
-/// A cell owner that orders what a test puts into its state.
+/// A stand-in cell owner whose orders are set by the test through `state`.
 pub struct Owner {
     pub state: Arc<Mutex<OwnerState>>,
     pub address: SocketAddr,
@@ -90,7 +93,7 @@
                 true => report.results.iter().map(|result| result.attempt.clone()).collect(),
                 false => Vec::new(),
             };
-            // As the cell's owner: no start before the agent has accepted the epoch.
+            // Like the real owner, sends no start before the agent has accepted the epoch.
             let starts = match report.epoch == state.epoch {
                 true => std::mem::take(&mut state.starts),
                 false => Vec::new(),
@@ -128,10 +131,12 @@
         Owner { state, address, _trigger: trigger }
     }
 
+    /// Returns the reported outcome of an attempt.
     pub fn outcome(&self, id: &AttemptId) -> Option<Outcome> {
         self.state.lock().outcomes.get(id).cloned()
     }
 
+    /// Tells whether the last report lists the attempt as running.
     pub fn is_running(&self, id: &AttemptId) -> bool {
         let state = self.state.lock();
         state
@@ -141,6 +146,7 @@
     }
 }
 
+/// Returns a configuration with one service and one job class.
 pub fn document() -> Arc<Document> {
     let service = Service {
         teams: Vec::new(),
@@ -159,7 +165,8 @@
     })
 }
 
-/// A running batch part; ends without a drain when `stop` is dropped.
+/// The batch tasks of an agent, without its other parts. Firing or dropping `trigger` starts a
+/// drain.
 pub struct Agent {
     pub running: smol::Task<()>,
     pub trigger: Trigger,
@@ -194,7 +201,7 @@
         Agent { running, trigger }
     }
 
-    /// Ends the agent at once, as a kill does.
+    /// Stops the agent without a drain, as if its process were killed.
     pub async fn kill(self) {
         self.running.cancel().await;
     }
--- a/crates/agent/tests/batch/worker_contract.rs
+++ b/crates/agent/tests/batch/worker_contract.rs
@@ -1,4 +1,5 @@
-//! Contract of the platform's worker API, checked against the stand-in through the agent's client.
+//! Contract tests of the platform's worker API, run on the stand-in worker through the agent's
+//! client.
 
 use std::time::Duration;
 
@@ -13,6 +14,7 @@
 use peridotfold_standins::worker::{Options, Worker};
 use peridotfold_wire::runtime;
 
+/// A stand-in worker and a client of its API.
 struct WorkerApi {
     worker: Worker,
     client: WorkerClient,
@@ -37,11 +39,13 @@
         self.client.perform(&action).await.0
     }
 
+    /// Makes a new claim and starts a task under it.
     async fn start_task(&self, id: AttemptId, lease_ms: u64, command: &str) -> ActionResult {
         let claim = self.claim(None, 0).await.unwrap().claim;
         self.start_claimed(claim, id, lease_ms, command).await
     }
 
+    /// Starts a task under an existing claim.
     async fn start_claimed(
         &self,
         claim: Claim,
@@ -65,6 +69,7 @@
         .await
     }
 
+    /// Waits until the task has ended, and returns its outcome.
     async fn ended(&self, id: &AttemptId) -> WorkerOutcome {
         for _ in 0..1_000 {
             let list = self.list().await;
@@ -78,7 +83,8 @@
     }
 }
 
-/// Guards against an old attempt that starts after a newer one, or after its own stop.
+/// Guards against a delayed start of an attempt after a newer attempt started or after its own
+/// stop.
 #[test]
 fn old_and_stopped_tokens_do_not_start() {
     run(async {
@@ -99,7 +105,7 @@
     });
 }
 
-/// Guards against a repeated start that runs a task twice.
+/// Guards against a task that runs twice because its start request was repeated.
 #[test]
 fn repeated_start_has_no_effect() {
     run(async {
@@ -114,7 +120,8 @@
     });
 }
 
-/// Guards against requests that were delayed beyond the lease and start or revive a task.
+/// Guards against delayed requests that start a task or renew its lease after the lease has
+/// expired.
 #[test]
 fn lease_ends_a_task_and_cannot_be_revived() {
     run(async {
@@ -135,7 +142,8 @@
     });
 }
 
-/// Guards against a client that takes an instance's reply for that of its successor.
+/// Guards against a worker that accepts a request meant for another instance, such as the one before
+/// its restart.
 #[test]
 fn requests_for_another_instance_are_refused() {
     run(async {
@@ -147,7 +155,8 @@
     });
 }
 
-/// Guards against a start of a killed agent that arrives after its successor's first list.
+/// Guards against a start request of a killed agent that arrives after its successor has listed the
+/// worker's tasks.
 #[test]
 fn only_the_last_claim_starts_tasks() {
     run(async {
@@ -162,7 +171,8 @@
     });
 }
 
-/// Guards against throttles, measurements and checkpoints that do not mean what the agent assumes.
+/// Guards against a worker whose throttling, usage figures or checkpoints differ from what the agent
+/// assumes.
 #[test]
 fn throttle_usage_and_checkpoint_follow_the_contract() {
     run(async {
@@ -195,7 +205,7 @@
     });
 }
 
-/// Guards against results that disappear before the agent removes them, or stay afterwards.
+/// Guards against results that disappear before the agent removes them, or remain afterwards.
 #[test]
 fn results_stay_until_they_are_removed() {
     run(async {
@@ -211,7 +221,7 @@
     });
 }
 
-/// Guards against a stop that is taken as done before the worker confirms it.
+/// Guards against a task that counts as stopped before the worker confirms its end.
 #[test]
 fn stopping_task_stays_listed_until_it_is_gone() {
     run(async {
@@ -227,7 +237,7 @@
     });
 }
 
-/// Guards against an epoch that a restarted agent does not find, and against one that falls.
+/// Guards against a stored epoch that is lost when an agent restarts, or that decreases.
 #[test]
 fn claims_keep_the_highest_epoch() {
     run(async {
--- a/crates/agent/tests/keyed.rs
+++ b/crates/agent/tests/keyed.rs
@@ -1,4 +1,4 @@
-//! The key table that an agent hands to a restarted entry.
+//! Recovery of an agent's key table by a restarted entry.
 
 use bytes::Bytes;
 use peridotfold_agent::idempotency::{KeyDecision, Keys};
@@ -8,8 +8,9 @@
     keys.decide(&Bytes::from_static(key.as_bytes()), &"entry-1".to_owned(), incarnation)
 }
 
-/// Guards against a late request of an ended entry that runs after the restarted one has read the
-/// table, and which that one takes for a key that was never dispatched.
+/// Guards against a delayed request from an ended incarnation of an entry that runs after its
+/// successor has read the key table. The successor would treat the key as never dispatched, and
+/// the key could run twice.
 #[test]
 fn requests_of_an_ended_entry_are_refused_once_the_table_was_read() {
     let keys = Keys::default();
--- a/crates/agent/tests/requests/answers.rs
+++ b/crates/agent/tests/requests/answers.rs
@@ -1,4 +1,4 @@
-//! Guards against answers that are cut, mixed up or lost without the entry noticing.
+//! Guards against answers that are truncated, swapped or lost without an error at the entry.
 
 use std::time::Duration;
 
@@ -17,7 +17,8 @@
         let behaviour = Behaviour { base_ms: 3.0, jitter: 1.0, ..Behaviour::default() };
         let setup = Setup::start(SetupOptions { behaviour, ..SetupOptions::default() }).await;
         for round in 0..10 {
-            // Fewer than slots and queue hold: a slot is free only just after its caller has the end.
+            // Fewer than slots and queue hold together: a slot is released only after its caller
+            // has received the end of the answer.
             let paths: Vec<_> = (0..30).map(|n| format!("/slot/{n}?round={round}")).collect();
             let tasks: Vec<_> =
                 paths.iter().map(|path| setup.spawn(setup.head("GET", path), "")).collect();
@@ -94,7 +95,7 @@
         assert_eq!(setup.send(&head, "").await.whole(), slot_body("/slot/1"));
         let gate = setup.agent.shared().gate.clone();
         assert_eq!(gate.load().streams, 2);
-        // Entries that go away end their feeds.
+        // A stream ends when its entry disconnects.
         for (mut sender, receiver) in feeds {
             sender.abort();
             drop(receiver);
--- a/crates/agent/tests/requests/drain.rs
+++ b/crates/agent/tests/requests/drain.rs
@@ -1,4 +1,4 @@
-//! Guards against a planned stop that interrupts requests, or that never ends.
+//! Guards against a drain that interrupts requests or never ends.
 
 use peridotfold_core::message::announce::AgentState;
 use peridotfold_core::message::request::RefuseReason;
@@ -60,7 +60,8 @@
     });
 }
 
-/// An agent that leaves without telling the entries would be sent requests for 3 s more.
+/// Guards against an agent that stops before the entries know that it leaves. They would send it
+/// requests for another 3 s.
 #[test]
 fn idle_agent_stays_until_the_entries_know_that_it_leaves() {
     run(async {
--- a/crates/agent/tests/requests/keys.rs
+++ b/crates/agent/tests/requests/keys.rs
@@ -1,4 +1,4 @@
-//! Guards against an idempotency key that runs twice.
+//! Guards against a request that runs twice for one idempotency key.
 
 use peridotfold_core::message::request::RefuseReason;
 
@@ -13,7 +13,7 @@
         setup.set_base_latency(300.0);
         let first = setup.spawn(setup.bid("k1"), "100");
         wait_until("first runs", || setup.upstream.running() == 1).await;
-        // More than fit in the queue: duplicates take no place.
+        // More than the queue holds: duplicates occupy no place in the queue.
         let joined: Vec<_> = (0..5).map(|_| setup.spawn(setup.bid("k1"), "100")).collect();
         let first = first.await.whole();
         for task in joined {
@@ -28,8 +28,8 @@
     });
 }
 
-/// Guards against a duplicate that joins the running request of another key, or gets the kept
-/// answer of another key.
+/// Guards against a duplicate that gets the answer of another key, either from a running request or
+/// from the kept answers.
 #[test]
 fn duplicates_of_different_keys_get_their_own_answers() {
     run(async {
@@ -98,8 +98,8 @@
     });
 }
 
-/// A caller that is told "not run" may bid again under another key, so a key that ran must not be
-/// reported as not run, whatever else speaks against the duplicate.
+/// Guards against a key that ran but is reported as not run because the duplicate itself would be
+/// refused. The caller could then bid again with another key.
 #[test]
 fn key_that_ran_is_never_reported_as_not_run() {
     run(async {
--- a/crates/agent/tests/requests/main.rs
+++ b/crates/agent/tests/requests/main.rs
@@ -1,4 +1,4 @@
-//! The agent in-process between a stand-in entry and the stand-in upstream.
+//! Tests of requests through an in-process agent, between a stand-in entry and a stand-in upstream.
 
 mod answers;
 mod drain;
--- a/crates/agent/tests/requests/refusals.rs
+++ b/crates/agent/tests/requests/refusals.rs
@@ -28,7 +28,7 @@
         setup.wait_load(1, 1).await;
         assert_eq!(setup.cancel(&queued.id).await, CancelReply::NotStarted);
         assert_eq!(second.await.reason(), RefuseReason::Duplicate);
-        // A late copy, and a request that is overtaken by its cancellation.
+        // A delayed copy, and a request that arrives after its cancellation.
         assert_eq!(setup.send(&queued, "second").await.reason(), RefuseReason::Duplicate);
         let late = setup.head("POST", "/bid");
         assert_eq!(setup.cancel(&late.id).await, CancelReply::NotStarted);
@@ -79,7 +79,7 @@
         queued.timeout = Duration::from_millis(50);
         assert_eq!(setup.send(&queued, "x").await.reason(), RefuseReason::DeadlinePassed);
         assert!(setup.upstream.executions().is_empty());
-        // Cancelling an idempotent request that runs gives its slot back.
+        // Cancelling a running idempotent request releases its slot.
         assert_eq!(setup.cancel(&running.id).await, CancelReply::Running);
         setup.wait_load(0, 0).await;
     });
@@ -88,7 +88,7 @@
 #[test]
 fn unreachable_upstream_is_not_run() {
     run(async {
-        // A port that was just closed.
+        // A port on which nothing listens any more.
         let closed = TcpListener::bind(loopback()).await.unwrap().local_addr().unwrap();
         let setup =
             Setup::start(SetupOptions { upstream: Some(closed), ..SetupOptions::default() }).await;
@@ -99,7 +99,8 @@
     });
 }
 
-/// Accepts connections, reads a little and closes them.
+/// Starts a server that closes each connection after reading part of the request, and returns its
+/// address.
 async fn closing_upstream() -> SocketAddr {
     let listener = TcpListener::bind(loopback()).await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -169,14 +170,14 @@
         let setup = Setup::start(SetupOptions::default()).await;
         let mut head = setup.head("GET", "/slot/1");
         head.config_version = 2;
-        // The entry has no version 2 to give.
+        // The entry does not have version 2 either.
         assert_eq!(setup.send(&head, "").await.reason(), RefuseReason::NoConfig);
         *setup.entry.newest.lock() = (2, Some(service(3, 32)));
         let mut head = setup.head("GET", "/slot/1");
         head.config_version = 2;
         setup.send(&head, "").await.whole();
         assert_eq!(setup.agent.shared().gate.load().slots, 3);
-        // Announce replies still carry version 1: it must not come back.
+        // Announce replies still carry version 1, which must not replace the newer version.
         let count = setup.entry.announces.lock().len();
         wait_until("two announcements", || setup.entry.announces.lock().len() >= count + 2).await;
         assert_eq!(setup.agent.shared().view.version(), 2);
--- a/crates/agent/tests/requests/support.rs
+++ b/crates/agent/tests/requests/support.rs
@@ -1,4 +1,4 @@
-//! An agent with a stand-in upstream and a stand-in entry in one process.
+//! Test setup: an agent with a stand-in upstream and a stand-in entry in one process.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -26,19 +26,19 @@
 use peridotfold_wire::server::{Handler, MessageServer, Stream};
 use peridotfold_wire::shutdown::{self, Trigger};
 
-/// Bound of each wait. Far above the targets, since it only ends a test that hangs.
+/// Timeout of each wait. Far above the expected times, since it only ends a test that hangs.
 const WAIT_LIMIT: Duration = Duration::from_secs(20);
 pub const SERVICE: &str = "listings";
 pub const ENTRY: &str = "e1";
 
-/// Runs a test on the pool.
+/// Runs a test on the thread pool.
 pub fn run<T>(test: impl Future<Output = T>) -> T {
     static POOL: Once = Once::new();
     POOL.call_once(|| runtime::start_threads(4));
     smol::block_on(test)
 }
 
-/// Waits until the condition holds.
+/// Waits until `condition` holds; panics with `what` after [`WAIT_LIMIT`].
 pub async fn wait_until(what: &str, condition: impl Fn() -> bool) {
     let limit = runtime::now() + WAIT_LIMIT;
     while !condition() {
@@ -47,10 +47,12 @@
     }
 }
 
+/// Returns a loopback address with a free port.
 pub fn loopback() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
+/// Returns the configuration of a service with these admission limits.
 pub fn service(slots: u32, queue: u32) -> Service {
     Service {
         teams: Vec::new(),
@@ -63,14 +65,14 @@
     }
 }
 
-/// Answers announcements and configuration requests.
+/// State of the stand-in entry, which answers announcements and configuration requests.
 #[derive(Debug)]
 pub struct EntryState {
     address: Mutex<Option<SocketAddr>>,
     pub announces: Mutex<Vec<Announce>>,
-    /// Version and service in announce replies.
+    /// Configuration version and service in replies to announcements.
     pub announced: Mutex<(u64, Option<Service>)>,
-    /// Version and service in answers to `config`.
+    /// Configuration version and service in replies to `config` messages.
     pub newest: Mutex<(u64, Option<Service>)>,
 }
 
@@ -117,7 +119,7 @@
     }
 }
 
-/// What the entry got for one request.
+/// Response that the entry received to one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Reply {
     Whole { status: u16, body: String, replayed: bool },
@@ -127,6 +129,7 @@
 }
 
 impl Reply {
+    /// Returns the body of a complete answer with status 200; panics on anything else.
     pub fn whole(self) -> String {
         match self {
             Reply::Whole { status: 200, body, .. } => body,
@@ -134,6 +137,7 @@
         }
     }
 
+    /// Returns the reason of a refusal; panics on anything else.
     pub fn reason(&self) -> RefuseReason {
         match self {
             Reply::NotRun(reason, _) => *reason,
@@ -142,7 +146,7 @@
     }
 }
 
-/// An agent with its surroundings.
+/// A running agent with its stand-in upstream and entry.
 pub struct Setup {
     pub upstream: Upstream,
     pub entry: Arc<EntryState>,
@@ -152,11 +156,13 @@
     _stop: Trigger,
 }
 
+/// Options of [`Setup::start`].
 pub struct SetupOptions {
+    /// Service in the configuration, or `None` to start without configuration.
     pub service: Option<Service>,
     pub behaviour: Behaviour,
     pub drain_grace: Duration,
-    /// Address used in place of that of the stand-in.
+    /// Address of the upstream, if not the stand-in.
     pub upstream: Option<SocketAddr>,
 }
 
@@ -198,7 +204,7 @@
             entries: vec![entry_address],
             service: SERVICE.into(),
             upstream: plan.upstream.unwrap_or(upstream.address()),
-            // Nothing listens there: these tests need no worker API.
+            // Nothing listens on this port, since these tests need no worker API.
             worker: SocketAddr::from(([127, 0, 0, 1], 1)),
             drain_grace: plan.drain_grace,
         };
@@ -217,6 +223,7 @@
         setup
     }
 
+    /// Returns the head of a new request.
     pub fn head(&self, method: &str, path: &str) -> RequestHead {
         let number = self.number.fetch_add(1, Ordering::Relaxed);
         RequestHead {
@@ -233,6 +240,7 @@
         }
     }
 
+    /// Returns the head of a bid with an idempotency key.
     pub fn bid(&self, key: &str) -> RequestHead {
         let mut head = self.head("POST", "/bid");
         head.key = Some(Bytes::from(format!("team/{key}")));
@@ -246,6 +254,7 @@
         open(&self.peers, &address, head, body).await
     }
 
+    /// Sends a request and returns the response.
     pub async fn send(&self, head: &RequestHead, body: &str) -> Reply {
         let (_sender, receiver) = self.open(head, body).await;
         collect(receiver).await
@@ -267,10 +276,12 @@
         self.peers.call(&address, "cancel", &cancel, WAIT_LIMIT).await.unwrap()
     }
 
+    /// Sets the upstream's latency in milliseconds, without jitter.
     pub fn set_base_latency(&self, base_ms: f64) {
         self.upstream.set_behaviour(Behaviour { base_ms, jitter: 0.0, ..Behaviour::default() });
     }
 
+    /// Waits until the agent has these numbers of running and queued requests.
     pub async fn wait_load(&self, running: u32, queued: u32) {
         let gate = self.agent.shared().gate.clone();
         wait_until("load", || {
@@ -281,6 +292,7 @@
     }
 }
 
+/// Opens a request stream to `address` and sends the whole body.
 pub async fn open(
     peers: &Peers,
     address: &str,
@@ -296,10 +308,10 @@
     (sender, pending.receiver().await.unwrap())
 }
 
-/// Reads an answer to its end.
+/// Reads a response to its end.
 pub async fn collect(mut receiver: FrameReceiver) -> Reply {
     let read = async {
-        // A reset may overtake what was sent before it.
+        // A stream reset may arrive before data that was sent earlier.
         let Ok(head) = receiver.next::<ResponseHead>().await else {
             return Reply::Truncated { body: String::new() };
         };
@@ -322,6 +334,7 @@
     futures_lite::future::or(read, late).await
 }
 
+/// Reads body frames to the end. Returns the body and whether it was complete.
 async fn read_body(receiver: &mut FrameReceiver) -> (String, bool) {
     let mut body = String::new();
     loop {
@@ -343,7 +356,7 @@
     }
 }
 
-/// Reads the rest of an answer whose first part was read. Tells whether it was whole.
+/// Reads the rest of an answer after [`first_part`]. Returns it and whether it was complete.
 pub async fn rest(receiver: &mut FrameReceiver) -> (String, bool) {
     read_body(receiver).await
 }
