--- a/crates/agent/src/batch.rs
+++ b/crates/agent/src/batch.rs
@@ -62,6 +62,7 @@
     inner: Arc<Inner>,
 }
 
+/// Shared part of [`Batch`].
 #[derive(Debug)]
 struct Inner {
     state: Mutex<State>,
@@ -77,6 +78,7 @@
     stopped: Shutdown,
 }
 
+/// State of the tasks and of the colocation controller, shared by both loops.
 #[derive(Debug)]
 struct State {
     tasks: Tasks,
--- a/crates/agent/src/batch/worker_client.rs
+++ b/crates/agent/src/batch/worker_client.rs
@@ -122,12 +122,14 @@
         }
     }
 
+    /// Sends a POST request with a JSON body.
     async fn post<T: Serialize>(&self, path: &str, body: &T) -> Result<Response<Bytes>, WireError> {
         let body = serde_json::to_vec(body)
             .map_err(|error| self.error(Step::Connect, error.to_string()))?;
         self.send(Method::POST, path, body.into()).await
     }
 
+    /// Sends a request and waits for the whole response.
     async fn send(
         &self,
         method: Method,
@@ -141,6 +143,7 @@
         serde_json::from_slice(body).map_err(|error| self.error(Step::Decode, error.to_string()))
     }
 
+    /// Returns an error that names the worker's address.
     fn error(&self, step: Step, detail: String) -> WireError {
         WireError::new(step, self.address.to_string(), detail)
     }
--- a/crates/agent/src/gate.rs
+++ b/crates/agent/src/gate.rs
@@ -50,7 +50,9 @@
 pub struct Permit {
     gate: Gate,
     id: RequestId,
+    /// Set when the entry cancels the request.
     aborted: Shutdown,
+    /// Result to record when the permit is dropped.
     ending: Ending,
 }
 
--- a/crates/agent/src/idempotency.rs
+++ b/crates/agent/src/idempotency.rs
@@ -51,6 +51,7 @@
 pub struct KeyRun {
     keys: Keys,
     key: Bytes,
+    /// Outcome to record when the run is dropped.
     outcome: Outcome,
 }
 
--- a/crates/agent/src/relay.rs
+++ b/crates/agent/src/relay.rs
@@ -65,6 +65,7 @@
     unknown_length: bool,
     /// Time at which a body of unknown length becomes a streaming response.
     stream_at: Time,
+    /// The response is a streaming response and has released its slot.
     is_stream: bool,
     /// Time by which the streaming response must be closed, once closing has started.
     close_deadline: Option<Time>,
--- a/crates/agent/src/request.rs
+++ b/crates/agent/src/request.rs
@@ -64,10 +64,13 @@
 struct Exchange {
     shared: Arc<Shared>,
     head: RequestHead,
+    /// Trace of the request with a new span for the agent.
     trace: TraceContext,
+    /// Time by which the entry expects the response.
     deadline: Time,
     /// The request body. `None` once a task forwards it to the upstream.
     receiver: Option<RequestBody>,
+    /// Sends the response to the entry.
     sink: FrameSender,
 }
 
--- a/crates/agent/src/upstream.rs
+++ b/crates/agent/src/upstream.rs
@@ -57,6 +57,7 @@
         self.client.send(self.address, request).await
     }
 
+    /// Builds the HTTP request to the upstream.
     fn request(
         &self,
         head: &RequestHead,
--- a/crates/agent/src/view.rs
+++ b/crates/agent/src/view.rs
@@ -23,8 +23,11 @@
 
 #[derive(Debug, Default)]
 struct State {
+    /// Configuration in effect.
     config: ConfigState,
+    /// Live entries from the last reply that listed them.
     entries: Vec<EntryAddress>,
+    /// Owner of the cell with the highest known epoch.
     owner: Option<CellOwner>,
 }
 
--- a/crates/agent/tests/requests/support.rs
+++ b/crates/agent/tests/requests/support.rs
@@ -76,6 +76,7 @@
     pub newest: Mutex<(u64, Option<Service>)>,
 }
 
+/// Returns the update from `version` to `config`.
 fn update(config: &(u64, Option<Service>), version: u64) -> ConfigUpdate {
     if config.0 <= version {
         return ConfigUpdate::Current;
