--- a/crates/agent/src/batch.rs
+++ b/crates/agent/src/batch.rs
@@ -143,8 +143,8 @@
         future::or(future::or(tasks, reports), future::or(inner.stopped.wait(), drained)).await;
     }
 
-    /// Checkpoints and stops all tasks and returns them to the owner, for at most `limit`; then ends
-    /// [`Batch::run`].
+    /// Checkpoints and stops all tasks and returns them to the owner, for at most `limit`; then
+    /// ends [`Batch::run`].
     pub async fn drain(&self, limit: Duration) {
         let deadline = runtime::now() + limit;
         self.inner.state.lock().tasks.drain();
--- a/crates/agent/src/batch/worker_client.rs
+++ b/crates/agent/src/batch/worker_client.rs
@@ -70,8 +70,8 @@
         }
     }
 
-    /// Performs an action. Returns its result, the checkpoint if one was taken, and the error to log
-    /// if the action failed.
+    /// Performs an action. Returns its result, the checkpoint if one was taken, and the error to
+    /// log if the action failed.
     pub async fn perform(
         &self,
         action: &Action,
--- a/crates/agent/src/gate.rs
+++ b/crates/agent/src/gate.rs
@@ -105,8 +105,8 @@
         }
     }
 
-    /// Refuses a request for a reason that the caller found, and records its ID so that later copies
-    /// are refused as well.
+    /// Refuses a request for a reason that the caller found, and records its ID so that later
+    /// copies are refused as well.
     pub fn refuse(&self, id: &RequestId, reason: RefuseReason) -> Rejection {
         match self.state.lock().admission.refuse(runtime::now(), id, reason) {
             Offer::Refused(refusal) => Rejection::Refused(refusal),
--- a/crates/agent/src/idempotency.rs
+++ b/crates/agent/src/idempotency.rs
@@ -17,8 +17,8 @@
     table: KeyTable,
     /// Channels to the duplicates that wait for the outcome of a running key.
     waiters: HashMap<Bytes, Vec<Sender<Outcome>>>,
-    /// Ended incarnations of entries whose keys were recovered. Never removed: a delayed request may
-    /// arrive at any time, and entries restart rarely.
+    /// Ended incarnations of entries whose keys were recovered. Never removed: a delayed request
+    /// may arrive at any time, and entries restart rarely.
     ended_entries: HashSet<(EntryId, Incarnation)>,
 }
 
@@ -78,9 +78,9 @@
         }
     }
 
-    /// Returns a page of the key table to the successor of an ended incarnation of an entry. Further
-    /// requests of the ended incarnation are refused, so the pages contain each of its keys that
-    /// may have run.
+    /// Returns a page of the key table to the successor of an ended incarnation of an entry.
+    /// Further requests of the ended incarnation are refused, so the pages contain each of its keys
+    /// that may have run.
     pub fn read_page(&self, request: &KeyTableRequest) -> KeyTableReply {
         let mut state = self.state.lock();
         state.ended_entries.insert((request.entry.clone(), request.ended));
--- a/crates/agent/src/messages.rs
+++ b/crates/agent/src/messages.rs
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Returns the configuration to an entry with an older version, such as one that was partitioned
-    /// and knows no other entry.
+    /// Returns the configuration to an entry with an older version, such as one that was
+    /// partitioned and knows no other entry.
     async fn config(&self, mut stream: Stream) -> Result<(), WireError> {
         match stream.receiver.next::<ConfigRequest>().await? {
             Some(request) => {
--- a/crates/agent/src/request.rs
+++ b/crates/agent/src/request.rs
@@ -151,8 +151,8 @@
         result
     }
 
-    /// Admits and runs the request. With `keep_answer`, the answer is kept, and read to its end even
-    /// if the entry disconnects.
+    /// Admits and runs the request. With `keep_answer`, the answer is kept, and read to its end
+    /// even if the entry disconnects.
     async fn execute(
         &mut self,
         keep_answer: bool,
@@ -260,8 +260,8 @@
         (finish, Some((permit, ending)), outcome)
     }
 
-    /// Tells whether the request may be abandoned: its method is idempotent, and it has no key whose
-    /// outcome must be recorded.
+    /// Tells whether the request may be abandoned: its method is idempotent, and it has no key
+    /// whose outcome must be recorded.
     fn is_idempotent(&self) -> bool {
         let idempotent = ["GET", "HEAD", "OPTIONS", "PUT", "DELETE"];
         self.head.key.is_none() && idempotent.contains(&self.head.method.as_str())
--- a/crates/agent/tests/batch/worker_contract.rs
+++ b/crates/agent/tests/batch/worker_contract.rs
@@ -142,8 +142,8 @@
     });
 }
 
-/// Guards against a worker that accepts a request meant for another instance, such as the one before
-/// its restart.
+/// Guards against a worker that accepts a request meant for another instance, such as the one
+/// before its restart.
 #[test]
 fn requests_for_another_instance_are_refused() {
     run(async {
@@ -171,8 +171,8 @@
     });
 }
 
-/// Guards against a worker whose throttling, usage figures or checkpoints differ from what the agent
-/// assumes.
+/// Guards against a worker whose throttling, usage figures or checkpoints differ from what the
+/// agent assumes.
 #[test]
 fn throttle_usage_and_checkpoint_follow_the_contract() {
     run(async {
