--- a/crates/agent/src/batch.rs
+++ b/crates/agent/src/batch.rs
@@ -1,8 +1,9 @@
-//! Batch tasks on this VM: keeps the worker in line with the orders of the cell's owner.
+//! Batch tasks on this VM: carries out the orders of the cell's owner on the worker.
 //!
-//! Two loops share the state. One lists the worker's tasks and performs the actions that are due;
-//! the other reports to the owner and takes its orders. The lock of the state is never held across
-//! an await.
+//! The owner is the entry that schedules the tasks of the cell; the worker is the platform's
+//! process on this VM that executes them. Two loops share the state. One lists the worker's tasks
+//! and performs the due actions; the other reports to the owner and receives its orders. The state
+//! lock is never held across an await.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -30,55 +31,68 @@
 
 use worker_client::WorkerClient;
 
-/// Pause between two lists while tasks are there, and while there are none.
-const POLL_BUSY: Duration = Duration::from_millis(250);
-const POLL_IDLE: Duration = Duration::from_secs(1);
-/// Requests to the worker at a time.
-const ACTIONS_AT_ONCE: usize = 8;
+/// Interval between listings of the worker's tasks while it has tasks.
+const POLL_INTERVAL_BUSY: Duration = Duration::from_millis(250);
+/// Interval between listings of the worker's tasks while it has none.
+const POLL_INTERVAL_IDLE: Duration = Duration::from_secs(1);
+/// Maximum number of concurrent requests to the worker.
+const MAX_PARALLEL_ACTIONS: usize = 8;
+/// Interval between steps of the colocation controller, which throttles and evicts batch tasks to
+/// protect the latency of the service.
 const CONTROL_PERIOD: Duration = Duration::from_secs(1);
-/// Assumed lag of the worker's usage and of the smoothed latency.
+/// Assumed delay until a change shows in the worker's usage figures and the smoothed latency.
 const MEASUREMENT_LAG: Duration = Duration::from_secs(2);
-/// Latency to protect before the configuration names one; its own default.
-const DEFAULT_TARGET: Duration = Duration::from_millis(50);
-/// The owner holds a reply for up to 1 s.
+/// Latency target until the configuration is known. Equals the default of the configuration.
+const DEFAULT_LATENCY_TARGET: Duration = Duration::from_millis(50);
+/// Timeout of a report. The owner may delay a reply by up to 1 s.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(3);
-/// Shortest pause between two reports: after orders, and otherwise. Keeps an owner that replies at
-/// once from being called in a tight loop.
-const REPORT_PAUSE_ORDERS: Duration = Duration::from_millis(20);
+/// Pause after a report whose reply contained orders. Avoids a busy loop when the owner replies
+/// immediately.
+const REPORT_PAUSE_AFTER_ORDERS: Duration = Duration::from_millis(20);
+/// Pause after a report whose reply contained no orders.
 const REPORT_PAUSE: Duration = Duration::from_millis(100);
-const REPORT_RETRY: Duration = Duration::from_millis(250);
-const DRAIN_CHECK: Duration = Duration::from_millis(50);
+/// Pause after a failed report, or while no owner is known.
+const REPORT_RETRY_DELAY: Duration = Duration::from_millis(250);
+/// Interval between checks whether the drain is complete.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Batch tasks of a VM.
+/// Handle to the batch tasks of a VM. Clones share the state.
 #[derive(Debug, Clone)]
 pub struct Batch {
-    shared: Arc<Shared>,
+    inner: Arc<Inner>,
 }
 
+/// Shared part of [`Batch`].
 #[derive(Debug)]
-struct Shared {
+struct Inner {
     state: Mutex<State>,
     worker: WorkerClient,
     peers: Arc<Peers>,
     service: ServiceId,
     drain_grace: Duration,
-    wake: Sender<()>,
-    woken: Receiver<()>,
-    close: Trigger,
-    closed: Shutdown,
+    /// Wakes the worker loop before its poll interval ends.
+    wake_sender: Sender<()>,
+    wake_receiver: Receiver<()>,
+    /// Ends [`Batch::run`] after a drain.
+    stop_trigger: Trigger,
+    stopped: Shutdown,
 }
 
+/// State of the tasks and of the colocation controller, shared by both loops.
 #[derive(Debug)]
 struct State {
     tasks: Tasks,
     colocation: Colocation,
+    /// Time of the next step of the colocation controller.
     next_control: Time,
-    worker_ok: bool,
-    owner_ok: bool,
+    /// Whether the last listing succeeded; a change is logged.
+    worker_answers: bool,
+    /// Whether the last report succeeded; a change is logged.
+    owner_answers: bool,
 }
 
 impl Batch {
-    /// Builds the state; nothing is contacted before [`Batch::run`].
+    /// Creates the state. Nothing is sent before [`Batch::run`].
     pub fn new(settings: &Settings, incarnation: Incarnation, peers: Arc<Peers>) -> Batch {
         let identity = Identity {
             agent: settings.id.clone(),
@@ -88,29 +102,30 @@
         };
         let state = State {
             tasks: Tasks::new(identity, MEASUREMENT_LAG),
-            colocation: Colocation::new(MEASUREMENT_LAG, DEFAULT_TARGET),
+            colocation: Colocation::new(MEASUREMENT_LAG, DEFAULT_LATENCY_TARGET),
             next_control: Duration::ZERO,
-            worker_ok: true,
-            owner_ok: true,
+            worker_answers: true,
+            owner_answers: true,
         };
-        let (wake, woken) = async_channel::bounded(1);
-        let (close, closed) = shutdown::channel();
-        let shared = Shared {
+        let (wake_sender, wake_receiver) = async_channel::bounded(1);
+        let (stop_trigger, stopped) = shutdown::channel();
+        let inner = Inner {
             state: Mutex::new(state),
             worker: WorkerClient::new(settings.worker),
             peers,
             service: settings.service.clone(),
             drain_grace: settings.drain_grace,
-            wake,
-            woken,
-            close,
-            closed,
+            wake_sender,
+            wake_receiver,
+            stop_trigger,
+            stopped,
         };
-        Batch { shared: Arc::new(shared) }
+        Batch { inner: Arc::new(inner) }
     }
 
-    /// Runs tasks until the batch work is drained. The signal starts a drain with the grace period
-    /// of the settings, unless [`Batch::drain`] has ended before.
+    /// Runs tasks until they are drained. `shutdown` starts a drain that is limited to the grace
+    /// period in the settings. `document`, `owner` and `latency` return the current configuration,
+    /// owner of the cell and latency of the service.
     pub async fn run(
         &self,
         document: impl Fn() -> Option<Arc<Document>> + Send + Sync + 'static,
@@ -118,51 +133,52 @@
         latency: impl Fn() -> Duration + Send + Sync + 'static,
         shutdown: Shutdown,
     ) {
-        let shared = &self.shared;
-        let tasks = shared.worker_loop(document, latency);
-        let reports = shared.report_loop(owner);
+        let inner = &self.inner;
+        let tasks = inner.worker_loop(document, latency);
+        let reports = inner.report_loop(owner);
         let drained = async {
             shutdown.wait().await;
-            self.drain(shared.drain_grace).await;
+            self.drain(inner.drain_grace).await;
         };
-        future::or(future::or(tasks, reports), future::or(shared.closed.wait(), drained)).await;
+        future::or(future::or(tasks, reports), future::or(inner.stopped.wait(), drained)).await;
     }
 
-    /// Takes checkpoints of all tasks, stops them and hands them back, for at most `limit`; then
+    /// Checkpoints and stops all tasks and returns them to the owner, for at most `limit`; then
     /// ends [`Batch::run`].
     pub async fn drain(&self, limit: Duration) {
         let deadline = runtime::now() + limit;
-        self.shared.state.lock().tasks.drain();
-        self.shared.wake_worker_loop();
-        while runtime::now() < deadline && !self.shared.closed.is_set() {
-            if self.shared.state.lock().tasks.is_drained() {
+        self.inner.state.lock().tasks.drain();
+        self.inner.wake_worker_loop();
+        while runtime::now() < deadline && !self.inner.stopped.is_set() {
+            if self.inner.state.lock().tasks.is_drained() {
                 break;
             }
-            runtime::sleep(DRAIN_CHECK).await;
+            runtime::sleep(DRAIN_POLL_INTERVAL).await;
         }
-        let left = self.shared.state.lock().tasks.attempt_count();
-        tracing::info!(event = "batch_drained", attempts_left = left);
-        self.shared.close.fire();
+        let remaining = self.inner.state.lock().tasks.attempt_count();
+        tracing::info!(event = "batch_drained", attempts_left = remaining);
+        self.inner.stop_trigger.fire();
     }
 }
 
-impl Shared {
+impl Inner {
     fn wake_worker_loop(&self) {
-        // A full channel means that the loop is about to run anyway.
-        let _ = self.wake.try_send(());
+        // When the channel is full, a wake-up is already pending.
+        let _ = self.wake_sender.try_send(());
     }
 
+    /// Lists the worker's tasks and performs the due actions, forever.
     async fn worker_loop(
         self: &Arc<Self>,
         document: impl Fn() -> Option<Arc<Document>>,
         latency: impl Fn() -> Duration,
     ) {
         loop {
-            match self.list().await {
-                Ok(()) => log::worker_reachable(&mut self.state.lock().worker_ok),
-                Err(error) => log::worker_failed(&mut self.state.lock().worker_ok, &error),
+            match self.refresh_tasks().await {
+                Ok(()) => log::worker_reachable(&mut self.state.lock().worker_answers),
+                Err(error) => log::worker_failed(&mut self.state.lock().worker_answers, &error),
             }
-            let actions = self.decide(document(), latency());
+            let actions = self.due_actions(document(), latency());
             self.perform_all(actions).await;
             let busy = {
                 let mut state = self.state.lock();
@@ -170,11 +186,12 @@
                 log::gauges(&state.tasks, &state.colocation);
                 state.tasks.attempt_count() > 0
             };
-            self.pause(if busy { POLL_BUSY } else { POLL_IDLE }).await;
+            self.sleep_or_wake(if busy { POLL_INTERVAL_BUSY } else { POLL_INTERVAL_IDLE }).await;
         }
     }
 
-    async fn list(&self) -> Result<(), WireError> {
+    /// Sends a claim to the worker if one is due, then updates the state from its list of tasks.
+    async fn refresh_tasks(&self) -> Result<(), WireError> {
         let request = self.state.lock().tasks.claim_request();
         if let Some(request) = request {
             let claimed = self.worker.claim(&request).await?;
@@ -193,14 +210,17 @@
         Ok(())
     }
 
-    async fn pause(&self, duration: Duration) {
+    /// Sleeps for `duration` or until woken.
+    async fn sleep_or_wake(&self, duration: Duration) {
         let woken = async {
-            let _ = self.woken.recv().await;
+            let _ = self.wake_receiver.recv().await;
         };
         future::or(runtime::sleep(duration), woken).await;
     }
 
-    fn decide(&self, document: Option<Arc<Document>>, latency: Duration) -> Vec<Action> {
+    /// Applies the configuration, runs the colocation controller if due, and returns the due
+    /// actions.
+    fn due_actions(&self, document: Option<Arc<Document>>, latency: Duration) -> Vec<Action> {
         let mut state = self.state.lock();
         let now = runtime::now();
         if let Some(document) = document {
@@ -208,21 +228,21 @@
             state.tasks.set_limits(limits);
             if now >= state.next_control {
                 state.next_control = now + CONTROL_PERIOD;
-                state.control(now, &document, &self.service, latency);
+                state.adjust_colocation(now, &document, &self.service, latency);
             }
         }
         state.tasks.actions(now)
     }
 
-    /// Performs actions in order, several at a time. Ends early when the worker does not answer:
-    /// the rest is due again after the next list.
+    /// Performs actions in order, up to [`MAX_PARALLEL_ACTIONS`] at a time. Stops when the worker
+    /// does not answer; the remaining actions are due again after the next listing.
     async fn perform_all(self: &Arc<Self>, actions: Vec<Action>) {
-        for group in actions.chunks(ACTIONS_AT_ONCE) {
+        for group in actions.chunks(MAX_PARALLEL_ACTIONS) {
             let started: Vec<smol::Task<bool>> = group
                 .iter()
                 .map(|action| {
-                    let (shared, action) = (self.clone(), action.clone());
-                    runtime::spawn(async move { shared.perform(action).await })
+                    let (inner, action) = (self.clone(), action.clone());
+                    runtime::spawn(async move { inner.perform(action).await })
                 })
                 .collect();
             let mut answered = true;
@@ -235,41 +255,45 @@
         }
     }
 
-    /// Performs one action; tells whether the worker answered.
+    /// Performs one action. Returns whether the worker answered, or `true` if the action is no
+    /// longer due.
     async fn perform(&self, action: Action) -> bool {
-        // The clock is read here, after any pause since the decision.
+        // Time may have passed since the action was chosen, so the clock is read again.
         if !self.state.lock().tasks.begin(runtime::now(), &action) {
             return true;
         }
-        let (effect, checkpoint, error) = self.worker.perform(&action).await;
+        let (result, checkpoint, error) = self.worker.perform(&action).await;
         if let Some(error) = error {
             log::action_failed(&action, &error);
         }
-        let answered = matches!(effect, ActionResult::Done | ActionResult::Refused(_));
+        let answered = matches!(result, ActionResult::Done | ActionResult::Refused(_));
         let mut state = self.state.lock();
-        state.tasks.record_result(runtime::now(), &action, effect);
+        state.tasks.record_result(runtime::now(), &action, result);
         if let (Action::Checkpoint(id), Some(taken)) = (&action, checkpoint) {
             state.tasks.record_checkpoint(id, taken.checkpoint.into());
         }
         answered
     }
 
+    /// Reports to the owner forever.
     async fn report_loop(&self, owner: impl Fn() -> Option<CellOwner>) {
         loop {
             let pause = match owner() {
                 Some(owner) => self.report(&owner).await,
-                None => REPORT_RETRY,
+                None => REPORT_RETRY_DELAY,
             };
             runtime::sleep(pause).await;
         }
     }
 
-    /// Sends one report and obeys the reply; returns the pause before the next one.
+    /// Sends one report and applies the orders in the reply. Returns the pause before the next
+    /// report.
     async fn report(&self, owner: &CellOwner) -> Duration {
         let report = {
             let mut state = self.state.lock();
             let pressure = state.colocation.pressure_percent();
-            // The lease counts from this time, which is before the report is sent.
+            // The lease starts at this time, before the report is sent, so it cannot outlast the
+            // lease that the owner assumes.
             state.tasks.report(runtime::now(), pressure)
         };
         let Some(report) = report else { return REPORT_PAUSE };
@@ -279,27 +303,34 @@
             Ok(orders) => {
                 let ordered = has_orders(&orders);
                 let mut state = self.state.lock();
-                log::owner_reachable(&mut state.owner_ok);
+                log::owner_reachable(&mut state.owner_answers);
                 state.tasks.apply_orders(runtime::now(), orders);
                 log::transitions(&mut state.tasks);
                 drop(state);
                 self.wake_worker_loop();
                 if ordered {
-                    REPORT_PAUSE_ORDERS
+                    REPORT_PAUSE_AFTER_ORDERS
                 } else {
                     REPORT_PAUSE
                 }
             }
             Err(error) => {
-                log::report_failed(&mut self.state.lock().owner_ok, &error);
-                REPORT_RETRY
+                log::report_failed(&mut self.state.lock().owner_answers, &error);
+                REPORT_RETRY_DELAY
             }
         }
     }
 }
 
 impl State {
-    fn control(&mut self, now: Time, document: &Document, service: &str, latency: Duration) {
+    /// Feeds a latency sample to the colocation controller and applies its decision.
+    fn adjust_colocation(
+        &mut self,
+        now: Time,
+        document: &Document,
+        service: &str,
+        latency: Duration,
+    ) {
         if let Some(service) = document.services.get(service) {
             self.colocation.set_target(service.target());
         }
@@ -313,12 +344,13 @@
         self.tasks.set_colocation(self.colocation.speeds(), self.colocation.blocked_classes(now));
     }
 
+    /// Returns the CPU use and number of running tasks by job class.
     fn class_loads(&self, document: &Document) -> BTreeMap<String, ClassLoad> {
         let mut loads = BTreeMap::new();
         for (_, class, usage) in self.tasks.running() {
             let urgent = document.classes.get(class).is_some_and(|class| class.urgent);
-            let fresh = ClassLoad { tasks: 0, cpu_milli: 0, urgent };
-            let load = loads.entry(class.to_owned()).or_insert(fresh);
+            let empty = ClassLoad { tasks: 0, cpu_milli: 0, urgent };
+            let load = loads.entry(class.to_owned()).or_insert(empty);
             load.tasks += 1;
             load.cpu_milli += usage.cpu_milli;
         }
@@ -326,6 +358,7 @@
     }
 }
 
+/// Tells whether the reply contains anything to act on.
 fn has_orders(orders: &Orders) -> bool {
     !(orders.starts.is_empty() && orders.stops.is_empty() && orders.acknowledged.is_empty())
 }
--- a/crates/agent/src/relay.rs
+++ b/crates/agent/src/relay.rs
@@ -1,4 +1,7 @@
-//! Passing a response body from the upstream to the entry.
+//! Relaying a response body from the upstream to the entry.
+//!
+//! A response of unknown length that lasts longer than [`STREAM_AFTER`] counts as a streaming
+//! response. It releases its admission slot, and is closed after the grace period of a drain.
 
 use std::time::Duration;
 
@@ -16,75 +19,84 @@
 
 use crate::gate::Permit;
 
-/// Time after which a response of unknown length counts as a feed and gives its slot back.
-const FEED_AFTER: Duration = Duration::from_secs(1);
-/// Silence after which the last chunk of a feed is taken to be complete.
-const CHUNK_QUIET: Duration = Duration::from_millis(200);
-/// Time within which a feed that is being closed has to come to the end of a chunk or line, and
-/// the entry has to take what was sent.
-const CLOSE_LIMIT: Duration = Duration::from_secs(2);
-
-/// Time within which the entry has to take a part of a finite response, once the agent drains and
-/// the grace period is over. Without a bound a stalled caller would hold up the stop for ever.
-const STALL_LIMIT: Duration = Duration::from_secs(10);
-/// Time allowed for the body of an answer to a request with a key. Such a request is not given up
-/// when its entry goes, so nothing else ends the wait for an upstream that stopped halfway.
-const KEPT_LIMIT: Duration = Duration::from_secs(60);
-
-/// A response body that was kept.
-pub enum Kept {
+/// Time after which a response of unknown length counts as a streaming response, and after which a
+/// response that the entry is slow to receive releases its slot.
+const STREAM_AFTER: Duration = Duration::from_secs(1);
+/// Time without data after which the last chunk of a streaming response counts as complete.
+const CHUNK_IDLE_TIMEOUT: Duration = Duration::from_millis(200);
+/// Time within which a streaming response that is being closed must reach the end of a chunk or
+/// line, and the entry must accept the data sent.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
+
+/// Time within which the entry must accept a part of a response of known length after the grace
+/// period of a drain. Without this limit a stalled caller would block the drain forever.
+const STALL_TIMEOUT: Duration = Duration::from_secs(10);
+/// Timeout of the response body of a request with an idempotency key. Such a request continues when
+/// its entry disconnects, so nothing else ends the wait for an upstream that stopped halfway.
+const KEPT_TIMEOUT: Duration = Duration::from_secs(60);
+
+/// A response body that was read to its end.
+pub enum KeptBody {
     Whole(Bytes),
+    /// Not kept, for example because it exceeds [`ANSWER_LIMIT`].
     TooLarge,
 }
 
+/// What ended the wait for the next part of the body.
 enum Event {
     Data(Bytes),
     End,
-    Cut,
-    /// Time to look at the clock and the signals.
+    /// The upstream or the entry failed, or the request was aborted.
+    Truncated,
+    /// A timer or the signal to close streams fired, so the relay must check its state.
     Check,
 }
 
-/// Passes one response body on.
+/// Relays one response body.
 pub struct Relay<'a> {
     body: PooledBody,
     sink: &'a mut FrameSender,
     permit: &'a Permit,
-    close_feeds: &'a Shutdown,
-    /// Ends the relay when a cancellation does; `None` when the request has to go on.
+    /// Set when streaming responses must be closed.
+    close_streams: &'a Shutdown,
+    /// Set when the request is cancelled; `None` if it must continue regardless.
     aborted: Option<Shutdown>,
-    endless: bool,
-    feed_at: Time,
-    is_feed: bool,
-    /// When the feed has to be closed; `None` while it need not.
-    close_by: Option<Time>,
+    /// The body has no known length.
+    unknown_length: bool,
+    /// Time at which a body of unknown length becomes a streaming response.
+    stream_at: Time,
+    /// The response is a streaming response and has released its slot.
+    is_stream: bool,
+    /// Time by which the streaming response must be closed, once closing has started.
+    close_deadline: Option<Time>,
+    /// The last part sent ended with a newline, so the response may be closed here.
     at_line_end: bool,
 }
 
 impl<'a> Relay<'a> {
-    /// Builds the relay of a response whose head was sent.
+    /// Creates the relay of a response whose head was sent to the entry.
     pub fn new(
         body: PooledBody,
         sink: &'a mut FrameSender,
         permit: &'a Permit,
-        close_feeds: &'a Shutdown,
+        close_streams: &'a Shutdown,
         aborted: Option<Shutdown>,
     ) -> Self {
         Relay {
-            endless: body.size_hint().exact().is_none(),
+            unknown_length: body.size_hint().exact().is_none(),
             body,
             sink,
             permit,
-            close_feeds,
+            close_streams,
             aborted,
-            feed_at: runtime::now() + FEED_AFTER,
-            is_feed: false,
-            close_by: None,
+            stream_at: runtime::now() + STREAM_AFTER,
+            is_stream: false,
+            close_deadline: None,
             at_line_end: true,
         }
     }
 
-    /// Passes the body on. Returns `None` when it was cut.
+    /// Relays the body. Returns `None` if it was truncated.
     pub async fn run(mut self) -> Option<()> {
         loop {
             if self.check() {
@@ -93,24 +105,26 @@
             match self.next().await {
                 Event::Data(part) => self.send(part).await?,
                 Event::End => return Some(()),
-                Event::Cut => return None,
-                Event::Check if self.close_by.is_some() => return Some(()),
+                Event::Truncated => return None,
+                Event::Check if self.close_deadline.is_some() => return Some(()),
                 Event::Check => {}
             }
         }
     }
 
-    /// Passes the body on while the entry takes it, and reads it to its end in any case. Returns
-    /// `None` when it was cut or took longer than [`KEPT_LIMIT`].
-    pub async fn run_kept(self, reachable: bool) -> Option<Kept> {
-        future::or(self.keep(reachable), async {
-            runtime::sleep(KEPT_LIMIT).await;
+    /// Reads the body to its end, and relays it as long as the entry accepts it. `reachable` tells
+    /// whether the entry accepted the head. Returns `None` if the body was truncated or took longer
+    /// than [`KEPT_TIMEOUT`].
+    pub async fn run_kept(self, reachable: bool) -> Option<KeptBody> {
+        future::or(self.relay_and_keep(reachable), async {
+            runtime::sleep(KEPT_TIMEOUT).await;
             None
         })
         .await
     }
 
-    async fn keep(mut self, mut reachable: bool) -> Option<Kept> {
+    /// Implements [`Relay::run_kept`] without the timeout.
+    async fn relay_and_keep(mut self, mut reachable: bool) -> Option<KeptBody> {
         let mut kept = Some(BytesMut::new());
         loop {
             match self.body.frame().await {
@@ -126,31 +140,33 @@
                 }
             }
         }
-        Some(kept.map_or(Kept::TooLarge, |kept| Kept::Whole(kept.freeze())))
+        Some(kept.map_or(KeptBody::TooLarge, |kept| KeptBody::Whole(kept.freeze())))
     }
 
-    /// Updates what depends on the clock and the signals. Tells whether the feed can be closed.
+    /// Updates the state from the clock and the close signal: detaches a response that has become a
+    /// stream and starts to close it. Tells whether the response may be closed now.
     fn check(&mut self) -> bool {
         let now = runtime::now();
-        if self.endless && !self.is_feed && now >= self.feed_at {
-            self.is_feed = true;
+        if self.unknown_length && !self.is_stream && now >= self.stream_at {
+            self.is_stream = true;
             self.permit.detach();
         }
-        if self.is_feed && self.close_by.is_none() && self.close_feeds.is_set() {
-            self.close_by = Some(now + CLOSE_LIMIT);
+        if self.is_stream && self.close_deadline.is_none() && self.close_streams.is_set() {
+            self.close_deadline = Some(now + CLOSE_TIMEOUT);
         }
-        self.close_by.is_some_and(|limit| self.at_line_end || now >= limit)
+        self.close_deadline.is_some_and(|limit| self.at_line_end || now >= limit)
     }
 
+    /// Waits for the next part of the body or another event.
     async fn next(&mut self) -> Event {
-        let until_feed = self.feed_at.saturating_sub(runtime::now());
-        let closing = self.close_by.is_some();
+        let until_stream = self.stream_at.saturating_sub(runtime::now());
+        let closing = self.close_deadline.is_some();
         let aborted = wait_aborted(self.aborted.clone());
         let frame = async {
             loop {
                 match self.body.frame().await {
                     None => return Event::End,
-                    Some(Err(_)) => return Event::Cut,
+                    Some(Err(_)) => return Event::Truncated,
                     Some(Ok(frame)) => match frame.into_data() {
                         Ok(part) => return Event::Data(part),
                         Err(_trailers) => continue,
@@ -158,50 +174,51 @@
                 }
             }
         };
-        let gone = async {
+        let entry_gone = async {
             future::or(self.sink.closed(), aborted).await;
-            Event::Cut
+            Event::Truncated
         };
         let timer = async {
             match () {
-                () if closing => runtime::sleep(CHUNK_QUIET).await,
-                () if self.is_feed => self.close_feeds.wait().await,
-                () if self.endless => runtime::sleep(until_feed).await,
+                () if closing => runtime::sleep(CHUNK_IDLE_TIMEOUT).await,
+                () if self.is_stream => self.close_streams.wait().await,
+                () if self.unknown_length => runtime::sleep(until_stream).await,
                 () => future::pending().await,
             }
             Event::Check
         };
-        future::or(frame, future::or(gone, timer)).await
+        future::or(frame, future::or(entry_gone, timer)).await
     }
 
-    /// Sends one part. Gives the slot back when the entry is slow to take it, and gives up when it
-    /// does not take it while the agent drains.
+    /// Sends one part. Releases the slot if the entry is slow to accept it. Returns `None` if the
+    /// request is aborted, the entry disconnects or stalls while the agent drains.
     async fn send(&mut self, part: Bytes) -> Option<()> {
         if part.is_empty() {
             return Some(());
         }
         self.at_line_end = part.ends_with(b"\n");
-        let stall_limit = if self.endless { CLOSE_LIMIT } else { STALL_LIMIT };
+        let stall_timeout = if self.unknown_length { CLOSE_TIMEOUT } else { STALL_TIMEOUT };
         let aborted = wait_aborted(self.aborted.clone());
-        let stuck = async {
-            self.close_feeds.wait().await;
-            runtime::sleep(stall_limit).await;
+        let stalled = async {
+            self.close_streams.wait().await;
+            runtime::sleep(stall_timeout).await;
         };
-        let slow = async {
-            runtime::sleep(FEED_AFTER).await;
+        let detach_if_slow = async {
+            runtime::sleep(STREAM_AFTER).await;
             self.permit.detach();
             future::pending().await
         };
-        let given_up = async {
-            future::or(aborted, future::or(stuck, slow)).await;
+        let gave_up = async {
+            future::or(aborted, future::or(stalled, detach_if_slow)).await;
             None
         };
         let frame = BodyFrame::Data(part);
         let sent = async { self.sink.send(&frame).await.ok() };
-        future::or(sent, given_up).await
+        future::or(sent, gave_up).await
     }
 }
 
+/// Waits for the signal, or forever if there is none.
 async fn wait_aborted(aborted: Option<Shutdown>) {
     match aborted {
         Some(aborted) => aborted.wait().await,
--- a/crates/agent/tests/batch/worker_contract.rs
+++ b/crates/agent/tests/batch/worker_contract.rs
@@ -1,4 +1,5 @@
-//! Contract of the platform's worker API, checked against the stand-in through the agent's client.
+//! Contract tests of the platform's worker API, run on the stand-in worker through the agent's
+//! client.
 
 use std::time::Duration;
 
@@ -13,16 +14,17 @@
 use peridotfold_standins::worker::{Options, Worker};
 use peridotfold_wire::runtime;
 
-struct Api {
+/// A stand-in worker and a client of its API.
+struct WorkerApi {
     worker: Worker,
     client: WorkerClient,
 }
 
-impl Api {
-    async fn start(options: Options) -> Api {
+impl WorkerApi {
+    async fn start(options: Options) -> WorkerApi {
         let worker = Worker::start(options).await.unwrap();
         let client = WorkerClient::new(worker.address());
-        Api { worker, client }
+        WorkerApi { worker, client }
     }
 
     async fn claim(&self, keep: Option<Claim>, epoch: u64) -> Option<ClaimReply> {
@@ -37,11 +39,13 @@
         self.client.perform(&action).await.0
     }
 
+    /// Makes a new claim and starts a task under it.
     async fn start_task(&self, id: AttemptId, lease_ms: u64, command: &str) -> ActionResult {
         let claim = self.claim(None, 0).await.unwrap().claim;
         self.start_claimed(claim, id, lease_ms, command).await
     }
 
+    /// Starts a task under an existing claim.
     async fn start_claimed(
         &self,
         claim: Claim,
@@ -65,6 +69,7 @@
         .await
     }
 
+    /// Waits until the task has ended, and returns its outcome.
     async fn ended(&self, id: &AttemptId) -> WorkerOutcome {
         for _ in 0..1_000 {
             let list = self.list().await;
@@ -78,11 +83,12 @@
     }
 }
 
-/// Guards against an old attempt that starts after a newer one, or after its own stop.
+/// Guards against a delayed start of an attempt after a newer attempt started or after its own
+/// stop.
 #[test]
 fn old_and_stopped_tokens_do_not_start() {
     run(async {
-        let api = Api::start(Options::default()).await;
+        let api = WorkerApi::start(Options::default()).await;
         assert_eq!(
             api.start_task(attempt("j", 2, 5), 10_000, "work_ms=20").await,
             ActionResult::Done
@@ -91,19 +97,19 @@
         assert!(matches!(older, ActionResult::Refused(_)));
         let epoch = api.start_task(attempt("j", 1, 9), 10_000, "work_ms=20").await;
         assert!(matches!(epoch, ActionResult::Refused(_)));
-        let barred = attempt("k", 1, 1);
-        assert_eq!(api.perform(Action::Stop(barred.clone())).await, ActionResult::Done);
-        let late = api.start_task(barred, 10_000, "work_ms=20").await;
+        let stopped = attempt("k", 1, 1);
+        assert_eq!(api.perform(Action::Stop(stopped.clone())).await, ActionResult::Done);
+        let late = api.start_task(stopped, 10_000, "work_ms=20").await;
         assert!(matches!(late, ActionResult::Refused(_)));
         assert_eq!(api.worker.history().len(), 1);
     });
 }
 
-/// Guards against a repeated start that runs a task twice.
+/// Guards against a task that runs twice because its start request was repeated.
 #[test]
 fn repeated_start_has_no_effect() {
     run(async {
-        let api = Api::start(Options::default()).await;
+        let api = WorkerApi::start(Options::default()).await;
         let id = attempt("j", 1, 1);
         for _ in 0..3 {
             assert_eq!(api.start_task(id.clone(), 10_000, "work_ms=50").await, ActionResult::Done);
@@ -114,11 +120,12 @@
     });
 }
 
-/// Guards against requests that were delayed beyond the lease and start or revive a task.
+/// Guards against delayed requests that start a task or renew its lease after the lease has
+/// expired.
 #[test]
 fn lease_ends_a_task_and_cannot_be_revived() {
     run(async {
-        let api = Api::start(Options::default()).await;
+        let api = WorkerApi::start(Options::default()).await;
         let id = attempt("j", 1, 1);
         let stale = api.list().await;
         assert_eq!(api.start_task(id.clone(), 100, "work_ms=60000").await, ActionResult::Done);
@@ -135,11 +142,12 @@
     });
 }
 
-/// Guards against a client that takes an instance's reply for that of its successor.
+/// Guards against a worker that accepts a request meant for another instance, such as the one
+/// before its restart.
 #[test]
 fn requests_for_another_instance_are_refused() {
     run(async {
-        let api = Api::start(Options::default()).await;
+        let api = WorkerApi::start(Options::default()).await;
         let instance = api.list().await.instance.wrapping_add(1);
         let leases = Vec::new();
         let renew = Action::Renew { instance, leases, until: Vec::new() };
@@ -147,11 +155,12 @@
     });
 }
 
-/// Guards against a start of a killed agent that arrives after its successor's first list.
+/// Guards against a start request of a killed agent that arrives after its successor has listed the
+/// worker's tasks.
 #[test]
 fn only_the_last_claim_starts_tasks() {
     run(async {
-        let api = Api::start(Options::default()).await;
+        let api = WorkerApi::start(Options::default()).await;
         let old = api.claim(None, 0).await.unwrap().claim;
         let new = api.claim(None, 0).await.unwrap().claim;
         assert_eq!(api.list().await.controller, new.controller);
@@ -162,7 +171,8 @@
     });
 }
 
-/// Guards against throttles, measurements and checkpoints that do not mean what the agent assumes.
+/// Guards against a worker whose throttling, usage figures or checkpoints differ from what the
+/// agent assumes.
 #[test]
 fn throttle_usage_and_checkpoint_follow_the_contract() {
     run(async {
@@ -171,7 +181,7 @@
             usage_factor: 3.0,
             ..Options::default()
         };
-        let api = Api::start(options).await;
+        let api = WorkerApi::start(options).await;
         let id = attempt("j", 1, 1);
         assert_eq!(api.start_task(id.clone(), 60_000, "work_ms=60000").await, ActionResult::Done);
         let task = api.list().await.tasks.remove(0);
@@ -195,11 +205,11 @@
     });
 }
 
-/// Guards against results that disappear before the agent removes them, or stay afterwards.
+/// Guards against results that disappear before the agent removes them, or remain afterwards.
 #[test]
 fn results_stay_until_they_are_removed() {
     run(async {
-        let api = Api::start(Options::default()).await;
+        let api = WorkerApi::start(Options::default()).await;
         let id = attempt("j", 1, 1);
         assert_eq!(api.start_task(id.clone(), 60_000, "work_ms=5000").await, ActionResult::Done);
         let early = api.perform(Action::Remove(id.clone())).await;
@@ -211,12 +221,12 @@
     });
 }
 
-/// Guards against a stop that is taken as done before the worker confirms it.
+/// Guards against a task that counts as stopped before the worker confirms its end.
 #[test]
 fn stopping_task_stays_listed_until_it_is_gone() {
     run(async {
         let options = Options { stop_time: Duration::from_millis(200), ..Options::default() };
-        let api = Api::start(options).await;
+        let api = WorkerApi::start(options).await;
         let id = attempt("j", 1, 1);
         assert_eq!(api.start_task(id.clone(), 60_000, "work_ms=5000").await, ActionResult::Done);
         assert_eq!(api.perform(Action::Stop(id.clone())).await, ActionResult::Done);
@@ -227,11 +237,11 @@
     });
 }
 
-/// Guards against an epoch that a restarted agent does not find, and against one that falls.
+/// Guards against a stored epoch that is lost when an agent restarts, or that decreases.
 #[test]
 fn claims_keep_the_highest_epoch() {
     run(async {
-        let api = Api::start(Options::default()).await;
+        let api = WorkerApi::start(Options::default()).await;
         let first = api.claim(None, 0).await.unwrap();
         assert_eq!(first.epoch, 0);
         let kept = api.claim(Some(first.claim), 7).await.unwrap();
--- a/crates/agent/tests/requests/support.rs
+++ b/crates/agent/tests/requests/support.rs
@@ -1,4 +1,4 @@
-//! An agent with a stand-in upstream and a stand-in entry in one process.
+//! Test setup: an agent with a stand-in upstream and a stand-in entry in one process.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -26,19 +26,19 @@
 use peridotfold_wire::server::{Handler, MessageServer, Stream};
 use peridotfold_wire::shutdown::{self, Trigger};
 
-/// Bound of each wait. Far above the targets, since it only ends a test that hangs.
+/// Timeout of each wait. Far above the expected times, since it only ends a test that hangs.
 const WAIT_LIMIT: Duration = Duration::from_secs(20);
 pub const SERVICE: &str = "listings";
 pub const ENTRY: &str = "e1";
 
-/// Runs a test on the pool.
+/// Runs a test on the thread pool.
 pub fn run<T>(test: impl Future<Output = T>) -> T {
     static POOL: Once = Once::new();
     POOL.call_once(|| runtime::start_threads(4));
     smol::block_on(test)
 }
 
-/// Waits until the condition holds.
+/// Waits until `condition` holds; panics with `what` after [`WAIT_LIMIT`].
 pub async fn wait_until(what: &str, condition: impl Fn() -> bool) {
     let limit = runtime::now() + WAIT_LIMIT;
     while !condition() {
@@ -47,10 +47,12 @@
     }
 }
 
-pub fn local() -> SocketAddr {
+/// Returns a loopback address with a free port.
+pub fn loopback() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
+/// Returns the configuration of a service with these admission limits.
 pub fn service(slots: u32, queue: u32) -> Service {
     Service {
         teams: Vec::new(),
@@ -63,17 +65,18 @@
     }
 }
 
-/// Answers announcements and configuration requests.
+/// State of the stand-in entry, which answers announcements and configuration requests.
 #[derive(Debug)]
 pub struct EntryState {
     address: Mutex<Option<SocketAddr>>,
     pub announces: Mutex<Vec<Announce>>,
-    /// Version and service in announce replies.
+    /// Configuration version and service in replies to announcements.
     pub announced: Mutex<(u64, Option<Service>)>,
-    /// Version and service in answers to `config`.
+    /// Configuration version and service in replies to `config` messages.
     pub newest: Mutex<(u64, Option<Service>)>,
 }
 
+/// Returns the update from `version` to `config`.
 fn update(config: &(u64, Option<Service>), version: u64) -> ConfigUpdate {
     if config.0 <= version {
         return ConfigUpdate::Current;
@@ -117,32 +120,34 @@
     }
 }
 
-/// What the entry got for one request.
+/// Response that the entry received to one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Got {
+pub enum Reply {
     Whole { status: u16, body: String, replayed: bool },
-    Cut { body: String },
+    Truncated { body: String },
     NotRun(RefuseReason, Duration),
     Unknown(String),
 }
 
-impl Got {
+impl Reply {
+    /// Returns the body of a complete answer with status 200; panics on anything else.
     pub fn whole(self) -> String {
         match self {
-            Got::Whole { status: 200, body, .. } => body,
+            Reply::Whole { status: 200, body, .. } => body,
             other => panic!("no whole answer: {other:?}"),
         }
     }
 
+    /// Returns the reason of a refusal; panics on anything else.
     pub fn reason(&self) -> RefuseReason {
         match self {
-            Got::NotRun(reason, _) => *reason,
+            Reply::NotRun(reason, _) => *reason,
             other => panic!("not refused: {other:?}"),
         }
     }
 }
 
-/// An agent with its surroundings.
+/// A running agent with its stand-in upstream and entry.
 pub struct Setup {
     pub upstream: Upstream,
     pub entry: Arc<EntryState>,
@@ -152,17 +157,19 @@
     _stop: Trigger,
 }
 
-pub struct Plan {
+/// Options of [`Setup::start`].
+pub struct SetupOptions {
+    /// Service in the configuration, or `None` to start without configuration.
     pub service: Option<Service>,
     pub behaviour: Behaviour,
     pub drain_grace: Duration,
-    /// Address used in place of that of the stand-in.
+    /// Address of the upstream, if not the stand-in.
     pub upstream: Option<SocketAddr>,
 }
 
-impl Default for Plan {
+impl Default for SetupOptions {
     fn default() -> Self {
-        Plan {
+        SetupOptions {
             service: Some(service(8, 32)),
             behaviour: Behaviour { jitter: 0.0, ..Behaviour::default() },
             drain_grace: Duration::from_millis(100),
@@ -172,7 +179,7 @@
 }
 
 impl Setup {
-    pub async fn start(plan: Plan) -> Setup {
+    pub async fn start(plan: SetupOptions) -> Setup {
         let options = Options { behaviour: plan.behaviour, ..Options::default() };
         let upstream = Upstream::start(options).await.unwrap();
         let version = u64::from(plan.service.is_some());
@@ -182,7 +189,7 @@
             announced: Mutex::new((version, plan.service.clone())),
             newest: Mutex::new((version, plan.service)),
         });
-        let server = MessageServer::bind(local()).await.unwrap();
+        let server = MessageServer::bind(loopback()).await.unwrap();
         let entry_address = server.address();
         *entry.address.lock() = Some(entry_address);
         let (stop, stopped) = shutdown::channel();
@@ -192,13 +199,13 @@
             data_centre: "dc1".into(),
             rack: "r1".into(),
             cell: "cell-1".into(),
-            internal: local(),
+            internal: loopback(),
             advertise: None,
-            http: local(),
+            http: loopback(),
             entries: vec![entry_address],
             service: SERVICE.into(),
             upstream: plan.upstream.unwrap_or(upstream.address()),
-            // Nothing listens there: these tests need no worker API.
+            // Nothing listens on this port, since these tests need no worker API.
             worker: SocketAddr::from(([127, 0, 0, 1], 1)),
             drain_grace: plan.drain_grace,
         };
@@ -217,6 +224,7 @@
         setup
     }
 
+    /// Returns the head of a new request.
     pub fn head(&self, method: &str, path: &str) -> RequestHead {
         let number = self.number.fetch_add(1, Ordering::Relaxed);
         RequestHead {
@@ -233,6 +241,7 @@
         }
     }
 
+    /// Returns the head of a bid with an idempotency key.
     pub fn bid(&self, key: &str) -> RequestHead {
         let mut head = self.head("POST", "/bid");
         head.key = Some(Bytes::from(format!("team/{key}")));
@@ -246,13 +255,14 @@
         open(&self.peers, &address, head, body).await
     }
 
-    pub async fn send(&self, head: &RequestHead, body: &str) -> Got {
+    /// Sends a request and returns the response.
+    pub async fn send(&self, head: &RequestHead, body: &str) -> Reply {
         let (_sender, receiver) = self.open(head, body).await;
         collect(receiver).await
     }
 
     /// Sends a request from another task.
-    pub fn spawn(&self, head: RequestHead, body: &'static str) -> smol::Task<Got> {
+    pub fn spawn(&self, head: RequestHead, body: &'static str) -> smol::Task<Reply> {
         let peers = self.peers.clone();
         let address = self.agent.internal().to_string();
         runtime::spawn(async move {
@@ -267,10 +277,12 @@
         self.peers.call(&address, "cancel", &cancel, WAIT_LIMIT).await.unwrap()
     }
 
-    pub fn behave(&self, base_ms: f64) {
+    /// Sets the upstream's latency in milliseconds, without jitter.
+    pub fn set_base_latency(&self, base_ms: f64) {
         self.upstream.set_behaviour(Behaviour { base_ms, jitter: 0.0, ..Behaviour::default() });
     }
 
+    /// Waits until the agent has these numbers of running and queued requests.
     pub async fn wait_load(&self, running: u32, queued: u32) {
         let gate = self.agent.shared().gate.clone();
         wait_until("load", || {
@@ -281,6 +293,7 @@
     }
 }
 
+/// Opens a request stream to `address` and sends the whole body.
 pub async fn open(
     peers: &Peers,
     address: &str,
@@ -296,21 +309,21 @@
     (sender, pending.receiver().await.unwrap())
 }
 
-/// Reads an answer to its end.
-pub async fn collect(mut receiver: FrameReceiver) -> Got {
+/// Reads a response to its end.
+pub async fn collect(mut receiver: FrameReceiver) -> Reply {
     let read = async {
-        // A reset may overtake what was sent before it.
+        // A stream reset may arrive before data that was sent earlier.
         let Ok(head) = receiver.next::<ResponseHead>().await else {
-            return Got::Cut { body: String::new() };
+            return Reply::Truncated { body: String::new() };
         };
         match head.expect("no head") {
-            ResponseHead::NotRun { reason, retry_after } => Got::NotRun(reason, retry_after),
-            ResponseHead::Unknown { detail } => Got::Unknown(detail),
+            ResponseHead::NotRun { reason, retry_after } => Reply::NotRun(reason, retry_after),
+            ResponseHead::Unknown { detail } => Reply::Unknown(detail),
             ResponseHead::Answer { status, replayed, .. } => {
                 let (body, whole) = read_body(&mut receiver).await;
                 match whole {
-                    true => Got::Whole { status, body, replayed },
-                    false => Got::Cut { body },
+                    true => Reply::Whole { status, body, replayed },
+                    false => Reply::Truncated { body },
                 }
             }
         }
@@ -322,6 +335,7 @@
     futures_lite::future::or(read, late).await
 }
 
+/// Reads body frames to the end. Returns the body and whether it was complete.
 async fn read_body(receiver: &mut FrameReceiver) -> (String, bool) {
     let mut body = String::new();
     loop {
@@ -343,7 +357,7 @@
     }
 }
 
-/// Reads the rest of an answer whose first part was read. Tells whether it was whole.
+/// Reads the rest of an answer after [`first_part`]. Returns it and whether it was complete.
 pub async fn rest(receiver: &mut FrameReceiver) -> (String, bool) {
     read_body(receiver).await
 }
