--- a/crates/hosted/src/agent.rs
+++ b/crates/hosted/src/agent.rs
@@ -11,29 +11,29 @@
 use peridotfold_wire::runtime;
 use peridotfold_wire::shutdown::Shutdown;
 
-use crate::connection::{self, Inbox, Outbox};
+use crate::connection::{self, MessageReader, Outbox};
 use crate::decisions;
 use crate::directory::{self, Directory};
 use crate::ports::{Store, Worker, WorkerAnswer};
 
 /// Silence after which the owner is taken to be lost: two pongs missed.
-const SILENCE: Duration = Duration::from_millis(2_300);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_300);
 /// Events that may wait for the loop.
-const EVENTS: usize = 1_024;
+const EVENT_CAPACITY: usize = 1_024;
 
 /// What the worker tells about itself.
 #[derive(Debug)]
-pub enum Beat {
+pub enum Heartbeat {
     Report { info: WorkerInfo, sequence: u64 },
-    SignOff { id: String },
+    Deregister { id: String },
 }
 
 #[derive(Debug)]
 enum Event {
-    Beat(Beat),
+    Heartbeat(Heartbeat),
     Answer(Call, WorkerAnswer),
-    LinkUp(Outbox<AgentMessage>),
-    LinkDown,
+    Connected(Outbox<AgentMessage>),
+    Disconnected,
     OwnerMessage(Vec<OwnerMessage>),
 }
 
@@ -49,12 +49,12 @@
 
 /// Passes on what the worker tells.
 #[derive(Debug, Clone)]
-pub struct Beats(Sender<Event>);
+pub struct HeartbeatSender(Sender<Event>);
 
-impl Beats {
+impl HeartbeatSender {
     /// Passes a report or sign-off on.
-    pub async fn tell(&self, heartbeat: Beat) {
-        if self.0.send(Event::Beat(heartbeat)).await.is_err() {
+    pub async fn send(&self, heartbeat: Heartbeat) {
+        if self.0.send(Event::Heartbeat(heartbeat)).await.is_err() {
             tracing::info!(event = "beat_dropped", reason = "stopping");
         }
     }
@@ -63,30 +63,30 @@
 impl<S: Store, W: Worker> Agent<S, W> {
     /// Builds an agent.
     pub fn new(node: String, store: S, worker: W) -> Self {
-        let (sender, events) = async_channel::bounded(EVENTS);
+        let (sender, events) = async_channel::bounded(EVENT_CAPACITY);
         Agent { node, store, worker, sender, events }
     }
 
     /// Where the worker's reports go.
-    pub fn beats(&self) -> Beats {
-        Beats(self.sender.clone())
+    pub fn heartbeats(&self) -> HeartbeatSender {
+        HeartbeatSender(self.sender.clone())
     }
 
     /// Runs until the shutdown.
     pub async fn run(self, shutdown: Shutdown) {
         tracing::info!(event = "agent_started", node = self.node);
-        let linking = link(&self.node, &self.store, &self.sender);
-        let working = work(&self.worker, &self.sender, &self.events);
-        future::or(shutdown.wait(), future::or(linking, working)).await;
+        let connecting = keep_connected(&self.node, &self.store, &self.sender);
+        let processing = process_events(&self.worker, &self.sender, &self.events);
+        future::or(shutdown.wait(), future::or(connecting, processing)).await;
         tracing::info!(event = "agent_stopped", node = self.node);
     }
 }
 
-async fn work<W: Worker>(worker: &W, sender: &Sender<Event>, events: &Receiver<Event>) {
-    let mut node = AgentState::default();
+async fn process_events<W: Worker>(worker: &W, sender: &Sender<Event>, events: &Receiver<Event>) {
+    let mut state = AgentState::default();
     let mut outbox: Option<Outbox<AgentMessage>> = None;
     loop {
-        let pause = node.next_poll(runtime::now());
+        let pause = state.next_poll(runtime::now());
         let event = future::or(async { events.recv().await.ok() }, async {
             runtime::sleep(pause).await;
             None
@@ -94,22 +94,22 @@
         .await;
         let now = runtime::now();
         match event {
-            None => node.poll(now),
-            Some(Event::Beat(Beat::Report { info, sequence })) => {
-                node.heartbeat(now, info, sequence)
+            None => state.poll(now),
+            Some(Event::Heartbeat(Heartbeat::Report { info, sequence })) => {
+                state.heartbeat(now, info, sequence)
             }
-            Some(Event::Beat(Beat::SignOff { id })) => node.deregister(now, &id),
-            Some(Event::LinkUp(link)) => outbox = Some(link),
-            Some(Event::LinkDown) => {
+            Some(Event::Heartbeat(Heartbeat::Deregister { id })) => state.deregister(now, &id),
+            Some(Event::Connected(sender)) => outbox = Some(sender),
+            Some(Event::Disconnected) => {
                 outbox = None;
-                node.disconnected();
+                state.disconnected();
             }
             Some(Event::OwnerMessage(messages)) => {
-                messages.into_iter().for_each(|message| node.receive(now, message));
+                messages.into_iter().for_each(|message| state.receive(now, message));
             }
-            Some(Event::Answer(call, answer)) => apply(&mut node, now, call, answer),
+            Some(Event::Answer(call, answer)) => apply_answer(&mut state, now, call, answer),
         }
-        for action in node.take_actions() {
+        for action in state.take_actions() {
             match action {
                 Action::Log(decision) => decisions::log(&decision),
                 // Closes the connection, which the reader reports.
@@ -136,21 +136,21 @@
     }
 }
 
-fn apply(node: &mut AgentState, now: Duration, call: Call, answer: WorkerAnswer) {
+fn apply_answer(state: &mut AgentState, now: Duration, call: Call, answer: WorkerAnswer) {
     match (call, answer) {
         (Call::List { worker, .. }, WorkerAnswer::Listed { token, clock, running, ends }) => {
-            node.listed(now, &worker, token, clock, running, ends);
+            state.listed(now, &worker, token, clock, running, ends);
         }
         (Call::List { worker, token, .. }, WorkerAnswer::Other(outcome)) => {
-            node.list_failed(now, &worker, token, &outcome);
+            state.list_failed(now, &worker, token, &outcome);
         }
         (Call::Start { worker, start, .. }, WorkerAnswer::Other(outcome)) => {
-            node.started(now, &worker, start.task, start.run, outcome);
+            state.started(now, &worker, start.task, start.run, outcome);
         }
         (Call::Stop { task, .. } | Call::Pace { task, .. }, WorkerAnswer::Other(outcome)) => {
             if outcome != Outcome::Done {
                 tracing::info!(event = "order_failed", %task, ?outcome);
-                node.order_failed(task);
+                state.order_failed(task);
             }
         }
         (call, WorkerAnswer::Listed { .. }) => {
@@ -160,35 +160,35 @@
 }
 
 /// Keeps a connection to the owner.
-async fn link<S: Store>(node: &str, store: &S, sender: &Sender<Event>) {
+async fn keep_connected<S: Store>(node: &str, store: &S, sender: &Sender<Event>) {
     let mut directory = Directory::default();
-    let mut hint = None;
+    let mut redirect = None;
     loop {
-        let address = match hint.take() {
+        let address = match redirect.take() {
             Some(address) => Some(address),
-            None => match directory::lock(store).await {
+            None => match directory::read_lock(store).await {
                 Ok(lock) => lock.map(|(lock, _)| lock.address),
                 Err(error) => {
                     tracing::info!(event = "lock_not_read", %error);
-                    directory.next()
+                    directory.next_entry()
                 }
             },
         };
         if let Some(address) = address {
-            match connected(node, address, store, sender, &mut directory).await {
-                Ok(owner) => hint = owner.filter(|owner| *owner != address),
+            match serve_connection(node, address, store, sender, &mut directory).await {
+                Ok(owner) => redirect = owner.filter(|owner| *owner != address),
                 Err(error) => tracing::info!(event = "owner_lost", owner = %address, %error),
             }
-            if sender.send(Event::LinkDown).await.is_err() {
+            if sender.send(Event::Disconnected).await.is_err() {
                 return;
             }
         }
-        runtime::sleep(directory::pause()).await;
+        runtime::sleep(directory::search_delay()).await;
     }
 }
 
 /// Serves one connection; returns where it was told to go.
-async fn connected<S: Store>(
+async fn serve_connection<S: Store>(
     node: &str,
     owner: SocketAddr,
     store: &S,
@@ -197,26 +197,26 @@
 ) -> Result<Option<SocketAddr>, WireError> {
     let stream = connection::connect(owner).await?;
     let greeting = Greeting::Agent { node: node.to_owned() };
-    connection::greet(&stream, &greeting, owner).await?;
+    connection::send_greeting(&stream, &greeting, owner).await?;
     let outbox = connection::start_writer(stream.clone(), owner.to_string());
-    let mut inbox = Inbox::new(stream, owner.to_string());
+    let mut reader = MessageReader::new(stream, owner.to_string());
     let mut outbox = Some(outbox);
     loop {
-        let messages: Vec<OwnerMessage> = inbox.receive(SILENCE).await?;
+        let messages: Vec<OwnerMessage> = reader.receive(SILENCE_TIMEOUT).await?;
         let mut has_lapsed = false;
         for message in &messages {
             match message {
                 OwnerMessage::Pong { permission, .. } if permission.is_zero() => has_lapsed = true,
                 OwnerMessage::Redirect { owner } => return Ok(*owner),
                 OwnerMessage::Welcome { entries, .. } | OwnerMessage::Pong { entries, .. } => {
-                    directory.learn(entries.iter().copied());
+                    directory.add(entries.iter().copied());
                 }
                 _ => {}
             }
         }
         if let Some(outbox) = outbox.take() {
             tracing::info!(event = "owner_found", %owner);
-            if sender.send(Event::LinkUp(outbox)).await.is_err() {
+            if sender.send(Event::Connected(outbox)).await.is_err() {
                 return Ok(None);
             }
         }
--- a/crates/hosted/src/connection.rs
+++ b/crates/hosted/src/connection.rs
@@ -17,11 +17,11 @@
 use smol::net::TcpStream;
 
 /// Messages that may wait for a slow peer before the connection is given up.
-const QUEUE_LIMIT: usize = 8_192;
-const READ_BYTES: usize = 16 * 1024;
+const OUTBOX_CAPACITY: usize = 8_192;
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 /// Bytes written at a time.
-const WRITE_BYTES: usize = 64 * 1024;
+const MAX_WRITE_BYTES: usize = 64 * 1024;
 const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Queue of a connection's writer.
@@ -43,7 +43,7 @@
 }
 
 /// Writes the first message of a connection.
-pub(crate) async fn greet(
+pub(crate) async fn send_greeting(
     stream: &TcpStream,
     greeting: &Greeting,
     peer: SocketAddr,
@@ -58,7 +58,7 @@
     stream: TcpStream,
     peer: String,
 ) -> Outbox<T> {
-    let (sender, receiver) = async_channel::bounded(QUEUE_LIMIT);
+    let (sender, receiver) = async_channel::bounded(OUTBOX_CAPACITY);
     runtime::spawn(async move {
         if let Err(error) = write_all(&stream, &peer, receiver).await {
             tracing::info!(event = "connection_lost", %peer, %error);
@@ -81,7 +81,7 @@
     while let Ok(message) = receiver.recv().await {
         let fail = |error: String| WireError::new(Step::Send, peer, error);
         let mut buffer = BytesMut::from(&frame::encode(&message).map_err(fail)?[..]);
-        while buffer.len() < WRITE_BYTES {
+        while buffer.len() < MAX_WRITE_BYTES {
             let Ok(message) = receiver.try_recv() else { break };
             buffer.extend_from_slice(&frame::encode(&message).map_err(fail)?);
         }
@@ -94,15 +94,15 @@
 
 /// Reads the messages of a connection.
 #[derive(Debug)]
-pub(crate) struct Inbox {
+pub(crate) struct MessageReader {
     stream: TcpStream,
     peer: String,
     buffer: BytesMut,
 }
 
-impl Inbox {
+impl MessageReader {
     pub(crate) fn new(stream: TcpStream, peer: String) -> Self {
-        Inbox { stream, peer, buffer: BytesMut::new() }
+        MessageReader { stream, peer, buffer: BytesMut::new() }
     }
 
     pub(crate) fn peer(&self) -> &str {
@@ -112,20 +112,20 @@
     /// Returns the next message alone; later ones stay in the buffer.
     pub(crate) async fn receive_one<T: DeserializeOwned>(
         &mut self,
-        silence: Duration,
+        timeout: Duration,
     ) -> Result<T, WireError> {
         loop {
             if let Some(message) = self.decode()? {
                 return Ok(message);
             }
-            self.fill(silence).await?;
+            self.read_more(timeout).await?;
         }
     }
 
     /// Returns the next messages, at least one; fails when none comes within `silence`.
     pub(crate) async fn receive<T: DeserializeOwned>(
         &mut self,
-        silence: Duration,
+        timeout: Duration,
     ) -> Result<Vec<T>, WireError> {
         loop {
             let mut messages = Vec::new();
@@ -135,7 +135,7 @@
             if !messages.is_empty() {
                 return Ok(messages);
             }
-            self.fill(silence).await?;
+            self.read_more(timeout).await?;
         }
     }
 
@@ -144,10 +144,10 @@
             .map_err(|error| WireError::new(Step::Decode, self.peer.as_str(), error))
     }
 
-    async fn fill(&mut self, silence: Duration) -> Result<(), WireError> {
-        let mut chunk = [0; READ_BYTES];
+    async fn read_more(&mut self, timeout: Duration) -> Result<(), WireError> {
+        let mut chunk = [0; READ_BUFFER_BYTES];
         let read = future::or(async { Some(self.stream.read(&mut chunk).await) }, async {
-            runtime::sleep(silence).await;
+            runtime::sleep(timeout).await;
             None
         });
         let fail = |step, detail: String| Err(WireError::new(step, self.peer.as_str(), detail));
@@ -158,7 +158,7 @@
                 Ok(())
             }
             Some(Err(error)) => fail(Step::Receive, error.to_string()),
-            None => fail(Step::Timeout, format!("silent for {silence:?}")),
+            None => fail(Step::Timeout, format!("silent for {timeout:?}")),
         }
     }
 }
--- a/crates/hosted/src/directory.rs
+++ b/crates/hosted/src/directory.rs
@@ -8,33 +8,33 @@
 use crate::records::{self, Lock};
 
 /// Pause between two searches for the owner.
-const SEARCH_PAUSE: Duration = Duration::from_millis(250);
+const SEARCH_INTERVAL: Duration = Duration::from_millis(250);
 /// Random addition, so that agents do not search in step.
-const SEARCH_SPREAD_MS: u64 = 100;
+const SEARCH_JITTER_MS: u64 = 100;
 
 /// Entries that were heard of, in the order in which they are asked.
 #[derive(Debug, Default)]
 pub(crate) struct Directory {
     entries: BTreeSet<SocketAddr>,
-    asked: usize,
+    attempts: usize,
 }
 
 impl Directory {
     /// Adds entries.
-    pub(crate) fn learn(&mut self, entries: impl IntoIterator<Item = SocketAddr>) {
+    pub(crate) fn add(&mut self, entries: impl IntoIterator<Item = SocketAddr>) {
         self.entries.extend(entries);
     }
 
     /// Returns the next entry to ask when the store does not answer.
-    pub(crate) fn next(&mut self) -> Option<SocketAddr> {
+    pub(crate) fn next_entry(&mut self) -> Option<SocketAddr> {
         let count = self.entries.len();
-        self.asked += 1;
-        self.entries.iter().nth(self.asked % count.max(1)).copied()
+        self.attempts += 1;
+        self.entries.iter().nth(self.attempts % count.max(1)).copied()
     }
 }
 
 /// Reads who holds the lock.
-pub(crate) async fn lock<S: Store>(store: &S) -> Result<Option<(Lock, u64)>, StoreError> {
+pub(crate) async fn read_lock<S: Store>(store: &S) -> Result<Option<(Lock, u64)>, StoreError> {
     let Some(item) = store.get(records::LOCK).await? else { return Ok(None) };
     match records::decode::<Lock>(&item.value) {
         Ok(lock) => Ok(Some((lock, item.revision))),
@@ -48,7 +48,7 @@
 /// Tells whether the store names another owner than the one at `address`. `vacant` is the answer
 /// when it names none.
 pub(crate) async fn is_replaced<S: Store>(store: &S, address: SocketAddr, vacant: bool) -> bool {
-    match lock(store).await {
+    match read_lock(store).await {
         Ok(Some((lock, _))) => lock.address != address,
         Ok(None) => vacant,
         Err(error) => {
@@ -59,6 +59,6 @@
 }
 
 /// Pause before the next search.
-pub(crate) fn pause() -> Duration {
-    SEARCH_PAUSE + Duration::from_millis(fastrand::u64(0..SEARCH_SPREAD_MS))
+pub(crate) fn search_delay() -> Duration {
+    SEARCH_INTERVAL + Duration::from_millis(fastrand::u64(0..SEARCH_JITTER_MS))
 }
--- a/crates/hosted/src/election.rs
+++ b/crates/hosted/src/election.rs
@@ -8,49 +8,50 @@
 
 use crate::directory::{self, Directory};
 use crate::entry::{Entry, Role};
-use crate::follower::{self, Ended};
-use crate::keeper::Keeper;
+use crate::follower::{self, DisconnectReason};
+use crate::ownership::Ownership;
 use crate::ports::{Revision, Store};
 
 /// Delay before a claim for each whole core less than a machine has: larger machines come first.
-const CLAIM_DELAY_MS: f64 = 20.0;
-const CLAIM_DELAY_MAX: Duration = Duration::from_millis(500);
-const CLAIM_SPREAD_MS: u64 = 40;
+const CLAIM_DELAY_PER_CORE_MS: f64 = 20.0;
+const MAX_CLAIM_DELAY: Duration = Duration::from_millis(500);
+const CLAIM_JITTER_MS: u64 = 40;
 
 /// Runs until the shutdown.
 pub(crate) async fn run<S: Store>(entry: Arc<Entry<S>>, retiring: Shutdown, shutdown: Shutdown) {
     let mut directory = Directory::default();
     while !shutdown.is_set() {
-        let (own, boot) = (entry.identity.node.clone(), entry.identity.boot);
-        match directory::lock(&entry.store).await {
-            Ok(Some((lock, revision))) if lock.node == own => {
+        let (node, boot) = (entry.identity.node.clone(), entry.identity.boot);
+        match directory::read_lock(&entry.store).await {
+            Ok(Some((lock, revision))) if lock.node == node => {
                 tracing::info!(event = "lock_of_own_node", is_current = lock.boot == boot);
                 claim(&entry, revision, &mut directory, &retiring).await;
                 if retiring.is_set() {
-                    runtime::sleep_or_shutdown(directory::pause(), &shutdown).await;
+                    runtime::sleep_or_shutdown(directory::search_delay(), &shutdown).await;
                 }
             }
             Ok(Some((lock, _))) => {
                 let ended = follow(&entry, lock.address, &mut directory, &shutdown).await;
                 tracing::info!(event = "owner_lost", owner = lock.node, reason = %ended);
-                runtime::sleep_or_shutdown(directory::pause(), &shutdown).await;
+                runtime::sleep_or_shutdown(directory::search_delay(), &shutdown).await;
             }
             Ok(None) => {
-                let delay = Duration::from_millis((CLAIM_DELAY_MS / entry.cores.max(0.01)) as u64);
-                let spread = Duration::from_millis(fastrand::u64(0..CLAIM_SPREAD_MS));
-                runtime::sleep_or_shutdown(delay.min(CLAIM_DELAY_MAX) + spread, &shutdown).await;
+                let delay =
+                    Duration::from_millis((CLAIM_DELAY_PER_CORE_MS / entry.cores.max(0.01)) as u64);
+                let jitter = Duration::from_millis(fastrand::u64(0..CLAIM_JITTER_MS));
+                runtime::sleep_or_shutdown(delay.min(MAX_CLAIM_DELAY) + jitter, &shutdown).await;
                 claim(&entry, 0, &mut directory, &retiring).await;
             }
             Err(error) => {
                 tracing::warn!(event = "lock_not_read", %error);
-                let next = directory.next();
+                let next = directory.next_entry();
                 if let Some(address) = next.filter(|address| *address != entry.identity.address) {
                     let ended = follow(&entry, address, &mut directory, &shutdown).await;
-                    if let Ended::Redirected(Some(owner)) = ended {
+                    if let DisconnectReason::Redirected(Some(owner)) = ended {
                         follow(&entry, owner, &mut directory, &shutdown).await;
                     }
                 }
-                runtime::sleep_or_shutdown(directory::pause(), &shutdown).await;
+                runtime::sleep_or_shutdown(directory::search_delay(), &shutdown).await;
             }
         }
     }
@@ -61,8 +62,8 @@
     owner: std::net::SocketAddr,
     directory: &mut Directory,
     shutdown: &Shutdown,
-) -> Ended {
-    let known = parking_lot::Mutex::new(Vec::new());
+) -> DisconnectReason {
+    let known_entries = parking_lot::Mutex::new(Vec::new());
     let identity = &entry.identity;
     let ended = follower::run(
         &entry.store,
@@ -72,46 +73,47 @@
         shutdown,
         |follower, entries| {
             entry.set_role(Role::Follower(follower.clone()), Some(owner));
-            known.lock().extend(entries);
+            known_entries.lock().extend(entries);
         },
     )
     .await;
     entry.set_role(Role::None, None);
-    directory.learn(known.into_inner());
+    directory.add(known_entries.into_inner());
     ended
 }
 
 /// Claims the ownership and works until it ends.
 async fn claim<S: Store>(
     entry: &Arc<Entry<S>>,
-    replaces: Revision,
+    lock_revision: Revision,
     directory: &mut Directory,
     retiring: &Shutdown,
 ) {
     if retiring.is_set() {
         return;
     }
-    let claimed = Keeper::claim(entry.store.clone(), entry.identity.clone(), replaces).await;
-    let keeper = match claimed {
-        Ok(Some(keeper)) => keeper,
+    let claimed =
+        Ownership::claim(entry.store.clone(), entry.identity.clone(), lock_revision).await;
+    let ownership = match claimed {
+        Ok(Some(ownership)) => ownership,
         Ok(None) => return,
         Err(error) => {
             tracing::warn!(event = "claim_failed", %error);
-            runtime::sleep(directory::pause()).await;
+            runtime::sleep(directory::search_delay()).await;
             return;
         }
     };
-    let (office, as_of) = match keeper.open_office(entry.owner_settings.clone()).await {
+    let (service, as_of) = match ownership.start_service(entry.owner_settings.clone()).await {
         Ok(opened) => opened,
         Err(error) => {
             tracing::warn!(event = "takeover_failed", %error);
             return;
         }
     };
-    entry.set_role(Role::Owner(office.clone()), Some(entry.identity.address));
+    entry.set_role(Role::Owner(service.clone()), Some(entry.identity.address));
     let is_stopped = futures_lite::future::or(
         async {
-            keeper.run(&office, as_of).await;
+            ownership.run(&service, as_of).await;
             false
         },
         async {
@@ -122,9 +124,9 @@
     .await;
     entry.set_role(Role::None, None);
     if is_stopped {
-        keeper.release(&office).await;
+        ownership.release(&service).await;
     }
-    office.finish();
-    directory.learn(office.known_entries());
+    service.shut_down();
+    directory.add(service.known_entries());
     tracing::info!(event = "ownership_ended", is_stopped);
 }
--- a/crates/hosted/src/entry.rs
+++ b/crates/hosted/src/entry.rs
@@ -18,27 +18,27 @@
 use smol::net::TcpListener;
 
 use crate::follower::Follower;
-use crate::keeper::Identity;
-use crate::office::Office;
-use crate::ports::{Change, Item, Revision, Store, StoreError, Watched, Write, Written};
+use crate::owner_service::OwnerService;
+use crate::ownership::Identity;
+use crate::ports::{Change, Item, Revision, Store, StoreError, WatchResult, Write, WriteResult};
 use crate::records;
 use crate::{election, sessions};
 
 /// Longest wait of one watch; with the time limit of the call it bounds how old the configuration
 /// of an entry with a silent connection becomes.
-const WATCH_WAIT: Duration = Duration::from_millis(1_200);
-const RETRY_PAUSE: Duration = Duration::from_millis(120);
+const WATCH_TIMEOUT: Duration = Duration::from_millis(1_200);
+const RETRY_DELAY: Duration = Duration::from_millis(120);
 /// Time for the owner's answer before the store is asked.
-const ASK_TIMEOUT: Duration = Duration::from_millis(500);
+const QUERY_TIMEOUT: Duration = Duration::from_millis(500);
 /// Time after a failed call in which new jobs are not sent to the store.
-const DARK_TIME: Duration = Duration::from_millis(700);
+const STORE_BACKOFF: Duration = Duration::from_millis(700);
 /// When a caller should come back after the store has refused a call for its rate.
-const RETRY_SOON: Duration = Duration::from_secs(1);
+const RETRY_AFTER_REFUSAL: Duration = Duration::from_secs(1);
 /// When a caller should come back while the store is away. Outages last several seconds.
-const RETRY_LATER: Duration = Duration::from_secs(2);
+const RETRY_AFTER_OUTAGE: Duration = Duration::from_secs(2);
 
 /// Longest that a caller waits for a write whose answers are lost: one try and its repetition.
-const STORE_LIMIT: Duration = Duration::from_millis(1_500);
+const STORE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Settings of an entry.
 #[derive(Debug, Clone)]
@@ -55,7 +55,7 @@
 #[derive(Debug, Clone)]
 pub(crate) enum Role {
     None,
-    Owner(Arc<Office>),
+    Owner(Arc<OwnerService>),
     Follower(Arc<Follower>),
 }
 
@@ -78,7 +78,7 @@
     routes: RwLock<Option<Arc<Routes>>>,
     role: Mutex<(Role, Option<SocketAddr>)>,
     /// Last failed call of the store, unless one has succeeded since.
-    dark_since: Mutex<Option<Time>>,
+    store_failed_at: Mutex<Option<Time>>,
 }
 
 impl<S: Store> Entry<S> {
@@ -93,7 +93,7 @@
             cores: settings.cores,
             routes: RwLock::new(None),
             role: Mutex::new((Role::None, None)),
-            dark_since: Mutex::new(None),
+            store_failed_at: Mutex::new(None),
         }
     }
 
@@ -118,7 +118,7 @@
                     }
                     Err(error) => {
                         tracing::warn!(event = "accept_failed", %error);
-                        runtime::sleep(RETRY_PAUSE).await;
+                        runtime::sleep(RETRY_DELAY).await;
                     }
                 }
             }
@@ -152,9 +152,11 @@
                     Ok((items, as_of)) => Ok((items.into_iter().collect(), as_of)),
                     Err(error) => Err(error),
                 },
-                Some(revision) => match self.store.watch(key, revision, WATCH_WAIT).await {
-                    Ok(Watched::Changes { changes, as_of }) => Ok((written(changes), as_of)),
-                    Ok(Watched::Forgotten) => {
+                Some(revision) => match self.store.watch(key, revision, WATCH_TIMEOUT).await {
+                    Ok(WatchResult::Changes { changes, as_of }) => {
+                        Ok((written_items(changes), as_of))
+                    }
+                    Ok(WatchResult::Compacted) => {
                         tracing::info!(event = "routes_read_again");
                         after = None;
                         continue;
@@ -164,17 +166,17 @@
             };
             match changed {
                 Ok((items, as_of)) => {
-                    self.note_store(true);
+                    self.set_store_up(true);
                     after = Some(as_of);
                     items.iter().filter(|item| item.key == key).for_each(|item| self.apply(item));
                     if self.routes().is_none() {
-                        runtime::sleep(RETRY_PAUSE).await;
+                        runtime::sleep(RETRY_DELAY).await;
                     }
                 }
                 Err(error) => {
                     tracing::warn!(event = "routes_not_read", %error);
-                    self.note_store(false);
-                    runtime::sleep(RETRY_PAUSE).await;
+                    self.set_store_up(false);
+                    runtime::sleep(RETRY_DELAY).await;
                 }
             }
         }
@@ -198,36 +200,36 @@
         }
     }
 
-    fn note_store(&self, is_up: bool) {
-        let mut dark = self.dark_since.lock();
-        match (is_up, *dark) {
+    fn set_store_up(&self, is_up: bool) {
+        let mut failed_at = self.store_failed_at.lock();
+        match (is_up, *failed_at) {
             (true, Some(_)) => {
                 tracing::info!(event = "store_regained");
-                *dark = None;
+                *failed_at = None;
             }
             (false, None) => {
                 tracing::warn!(event = "store_lost");
-                *dark = Some(runtime::now());
+                *failed_at = Some(runtime::now());
             }
-            (false, Some(_)) => *dark = Some(runtime::now()),
+            (false, Some(_)) => *failed_at = Some(runtime::now()),
             (true, None) => {}
         }
     }
 
-    pub(crate) fn is_dark(&self) -> bool {
-        self.dark_since.lock().is_some_and(|at| runtime::now() < at + DARK_TIME)
+    pub(crate) fn is_store_down(&self) -> bool {
+        self.store_failed_at.lock().is_some_and(|at| runtime::now() < at + STORE_BACKOFF)
     }
 
     /// Time after which a caller whose request was not accepted should come back.
     pub fn retry_after(&self) -> Duration {
-        match *self.dark_since.lock() {
-            Some(_) => RETRY_LATER,
-            None => RETRY_SOON,
+        match *self.store_failed_at.lock() {
+            Some(_) => RETRY_AFTER_OUTAGE,
+            None => RETRY_AFTER_REFUSAL,
         }
     }
 
     /// Stores a job.
-    pub async fn submit(&self, job: JobNumber, spec: &JobSpec, limit: Duration) -> Stored {
+    pub async fn submit(&self, job: JobNumber, spec: &JobSpec, timeout: Duration) -> Stored {
         let record = match records::encode(spec) {
             Ok(record) => record,
             Err(error) => {
@@ -235,26 +237,26 @@
                 return Stored::No;
             }
         };
-        let begun = runtime::now();
-        let limit = limit.min(STORE_LIMIT);
-        let left = || (begun + limit).saturating_sub(runtime::now());
+        let started_at = runtime::now();
+        let timeout = timeout.min(STORE_TIMEOUT);
+        let remaining = || (started_at + timeout).saturating_sub(runtime::now());
         let mut outcome = Stored::No;
-        if !self.is_dark() {
+        if !self.is_store_down() {
             let storing = self.store_job(job, record.clone());
-            outcome = within(left(), Stored::Unclear, storing).await;
+            outcome = with_timeout(remaining(), Stored::Unclear, storing).await;
         }
         // The owner may reach the store when this entry does not.
         if let (Stored::No, (Role::Follower(follower), _)) = (outcome, self.role()) {
             let ask = |query| EntryRequest::Submit { query, job, record };
-            outcome = match follower.ask(left(), ask).await {
+            outcome = match follower.ask(remaining(), ask).await {
                 Some(OwnerReply::Stored { outcome, .. }) => outcome,
                 _ => Stored::Unclear,
             };
         }
-        let took_ms = (runtime::now() - begun).as_millis() as u64;
+        let took_ms = (runtime::now() - started_at).as_millis() as u64;
         let id = format!("{job:016x}");
         tracing::info!(event = "submit", id, queue = spec.queue.name, ?outcome, took_ms);
-        metrics::histogram!("submit_seconds").record((runtime::now() - begun).as_secs_f64());
+        metrics::histogram!("submit_seconds").record((runtime::now() - started_at).as_secs_f64());
         outcome
     }
 
@@ -265,45 +267,47 @@
             puts: vec![(records::job_key(job), record, None)],
             removes: Vec::new(),
         };
-        self.store_once(&write).await
+        self.write_until_known(&write).await
     }
 
     /// Repeats a write whose repetition changes nothing until its outcome is known.
-    async fn store_once(&self, write: &Write) -> Stored {
+    async fn write_until_known(&self, write: &Write) -> Stored {
         let mut is_unclear = false;
         loop {
             match self.store.write(write).await {
-                Ok(Written::Done(_) | Written::Conflict(_)) => {
-                    self.note_store(true);
+                Ok(WriteResult::Done(_) | WriteResult::Conflict(_)) => {
+                    self.set_store_up(true);
                     return Stored::Yes;
                 }
-                Ok(Written::NoLease) => return Stored::No,
+                Ok(WriteResult::NoLease) => return Stored::No,
                 Err(StoreError::Refused(error)) if !is_unclear => {
                     tracing::info!(event = "store_refused", error);
-                    self.note_store(false);
+                    self.set_store_up(false);
                     return Stored::No;
                 }
                 Err(error) => {
                     is_unclear = true;
                     tracing::info!(event = "store_unclear", %error);
-                    self.note_store(false);
-                    runtime::sleep(RETRY_PAUSE).await;
+                    self.set_store_up(false);
+                    runtime::sleep(RETRY_DELAY).await;
                 }
             }
         }
     }
 
     /// Stores the cancel of a job.
-    pub async fn cancel(&self, job: JobNumber, limit: Duration) -> Stored {
-        let begun = runtime::now();
-        let limit = limit.min(STORE_LIMIT);
-        let left = || (begun + limit).saturating_sub(runtime::now());
+    pub async fn cancel(&self, job: JobNumber, timeout: Duration) -> Stored {
+        let started_at = runtime::now();
+        let timeout = timeout.min(STORE_TIMEOUT);
+        let remaining = || (started_at + timeout).saturating_sub(runtime::now());
         let mut outcome = Stored::No;
-        if !self.is_dark() {
-            outcome = within(left(), Stored::Unclear, self.store_cancel(job)).await;
+        if !self.is_store_down() {
+            outcome = with_timeout(remaining(), Stored::Unclear, self.store_cancel(job)).await;
         }
         if let (Stored::No, (Role::Follower(follower), _)) = (outcome, self.role()) {
-            outcome = match follower.ask(left(), |query| EntryRequest::Cancel { query, job }).await
+            outcome = match follower
+                .ask(remaining(), |query| EntryRequest::Cancel { query, job })
+                .await
             {
                 Some(OwnerReply::Stored { outcome, .. }) => outcome,
                 _ => Stored::Unclear,
@@ -332,12 +336,12 @@
                     puts: vec![(records::cancel_key(job), Bytes::new(), None)],
                     removes: Vec::new(),
                 };
-                self.store_once(&write).await
+                self.write_until_known(&write).await
             }
             Err(error) => {
                 let error: StoreError = error;
                 tracing::info!(event = "store_refused", %error);
-                self.note_store(false);
+                self.set_store_up(false);
                 Stored::No
             }
         }
@@ -345,19 +349,20 @@
 
     /// Returns the phase of a job.
     pub async fn state(&self, job: JobNumber) -> StateAnswer {
-        let told = match self.role().0 {
-            Role::Owner(office) => {
-                office.read(|owner, now| owner.is_valid(now).then(|| owner.phase(job)).flatten())
+        let reported = match self.role().0 {
+            Role::Owner(service) => {
+                service.read(|owner, now| owner.is_valid(now).then(|| owner.phase(job)).flatten())
             }
             Role::Follower(follower) => {
-                match follower.ask(ASK_TIMEOUT, |query| EntryRequest::State { query, job }).await {
+                match follower.ask(QUERY_TIMEOUT, |query| EntryRequest::State { query, job }).await
+                {
                     Some(OwnerReply::State { state, .. }) => state,
                     _ => None,
                 }
             }
             Role::None => None,
         };
-        match told {
+        match reported {
             Some(phase) => StateAnswer::Known(phase),
             None => self.stored_state(job).await,
         }
@@ -395,10 +400,10 @@
     /// Counts the jobs of a queue that have not begun; `None` when the owner does not answer.
     pub async fn waiting(&self, queue: &str) -> Option<u64> {
         match self.role().0 {
-            Role::Owner(office) => Some(office.read(|owner, _| owner.waiting(queue))),
+            Role::Owner(service) => Some(service.read(|owner, _| owner.waiting(queue))),
             Role::Follower(follower) => {
                 let ask = |query| EntryRequest::Waiting { query, queue: queue.to_owned() };
-                match follower.ask(ASK_TIMEOUT, ask).await {
+                match follower.ask(QUERY_TIMEOUT, ask).await {
                     Some(OwnerReply::Waiting { count, .. }) => count,
                     _ => None,
                 }
@@ -408,7 +413,7 @@
     }
 }
 
-fn written(changes: Vec<Change>) -> Vec<Item> {
+fn written_items(changes: Vec<Change>) -> Vec<Item> {
     let items = changes.into_iter().filter_map(|change| match change {
         Change::Written(item) => Some(item),
         Change::Removed(_) => None,
@@ -416,10 +421,14 @@
     items.collect()
 }
 
-async fn within<T>(limit: Duration, late: T, work: impl std::future::Future<Output = T>) -> T {
+async fn with_timeout<T>(
+    timeout: Duration,
+    on_timeout: T,
+    work: impl std::future::Future<Output = T>,
+) -> T {
     future::or(work, async {
-        runtime::sleep(limit).await;
-        late
+        runtime::sleep(timeout).await;
+        on_timeout
     })
     .await
 }
--- a/crates/hosted/src/follower.rs
+++ b/crates/hosted/src/follower.rs
@@ -15,39 +15,41 @@
 use peridotfold_wire::runtime;
 use peridotfold_wire::shutdown::Shutdown;
 
-use crate::connection::{self, Inbox, Outbox};
+use crate::connection::{self, MessageReader, Outbox};
 use crate::directory;
 use crate::ports::Store;
 
 const PING_INTERVAL: Duration = Duration::from_millis(800);
 /// Silence after which the owner is taken to be lost: two pongs missed.
-const SILENCE: Duration = Duration::from_millis(2_000);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 /// Longest wait for an entry's word on who owns the work.
-const ASK_TIMEOUT: Duration = Duration::from_millis(400);
+const QUERY_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Asks the owner.
 #[derive(Debug)]
 pub(crate) struct Follower {
     outbox: Outbox<EntryRequest>,
-    waiting: Mutex<HashMap<u64, Sender<OwnerReply>>>,
+    pending: Mutex<HashMap<u64, Sender<OwnerReply>>>,
     next_query: AtomicU64,
 }
 
 /// How a connection to a supposed owner ended.
 #[derive(Debug)]
-pub(crate) enum Ended {
+pub(crate) enum DisconnectReason {
     Lost(WireError),
     Redirected(Option<SocketAddr>),
     Shutdown,
 }
 
-impl fmt::Display for Ended {
+impl fmt::Display for DisconnectReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Ended::Lost(error) => error.fmt(f),
-            Ended::Redirected(owner) => write!(f, "it is not the owner; owner={owner:?}"),
-            Ended::Shutdown => f.write_str("shutdown"),
+            DisconnectReason::Lost(error) => error.fmt(f),
+            DisconnectReason::Redirected(owner) => {
+                write!(f, "it is not the owner; owner={owner:?}")
+            }
+            DisconnectReason::Shutdown => f.write_str("shutdown"),
         }
     }
 }
@@ -56,29 +58,29 @@
     /// Sends a question and waits for its answer.
     pub(crate) async fn ask(
         &self,
-        limit: Duration,
+        timeout: Duration,
         ask: impl FnOnce(u64) -> EntryRequest,
     ) -> Option<OwnerReply> {
         let query = self.next_query.fetch_add(1, Ordering::Relaxed);
         let (sender, receiver) = async_channel::bounded(1);
-        self.waiting.lock().insert(query, sender);
+        self.pending.lock().insert(query, sender);
         let sent = self.outbox.try_send(ask(query));
         let answer = match sent {
             Err(_) => None,
             Ok(()) => {
                 future::or(async { receiver.recv().await.ok() }, async {
-                    runtime::sleep(limit).await;
+                    runtime::sleep(timeout).await;
                     None
                 })
                 .await
             }
         };
-        self.waiting.lock().remove(&query);
+        self.pending.lock().remove(&query);
         answer
     }
 
     fn resolve(&self, query: u64, answer: OwnerReply) {
-        if let Some(sender) = self.waiting.lock().remove(&query) {
+        if let Some(sender) = self.pending.lock().remove(&query) {
             // The asker may have given up.
             let _ = sender.try_send(answer);
         }
@@ -86,7 +88,7 @@
 }
 
 /// Asks an entry who owns the work. `None`: it does not answer, or knows nobody.
-pub(crate) async fn ask_owner(
+pub(crate) async fn query_owner(
     peer: SocketAddr,
     node: &str,
     address: SocketAddr,
@@ -94,13 +96,13 @@
     let asking = async {
         let stream = connection::connect(peer).await?;
         let greeting = Greeting::Entry { node: node.to_owned(), address };
-        connection::greet(&stream, &greeting, peer).await?;
+        connection::send_greeting(&stream, &greeting, peer).await?;
         let outbox = connection::start_writer(stream.clone(), peer.to_string());
         if outbox.try_send(EntryRequest::Ping).is_err() {
             tracing::debug!(event = "ping_not_sent", %peer);
         }
-        let mut inbox = Inbox::new(stream, peer.to_string());
-        inbox.receive_one::<OwnerReply>(ASK_TIMEOUT).await
+        let mut reader = MessageReader::new(stream, peer.to_string());
+        reader.receive_one::<OwnerReply>(QUERY_TIMEOUT).await
     };
     match asking.await {
         Ok(OwnerReply::Redirect { owner }) => owner,
@@ -121,20 +123,20 @@
     node: &str,
     address: SocketAddr,
     shutdown: &Shutdown,
-    joined: impl Fn(&Arc<Follower>, Vec<SocketAddr>),
-) -> Ended {
+    on_pong: impl Fn(&Arc<Follower>, Vec<SocketAddr>),
+) -> DisconnectReason {
     let stream = match connection::connect(owner).await {
         Ok(stream) => stream,
-        Err(error) => return Ended::Lost(error),
+        Err(error) => return DisconnectReason::Lost(error),
     };
     let greeting = Greeting::Entry { node: node.to_owned(), address };
-    if let Err(error) = connection::greet(&stream, &greeting, owner).await {
-        return Ended::Lost(error);
+    if let Err(error) = connection::send_greeting(&stream, &greeting, owner).await {
+        return DisconnectReason::Lost(error);
     }
     let outbox = connection::start_writer(stream.clone(), owner.to_string());
     let follower = Arc::new(Follower {
         outbox: outbox.clone(),
-        waiting: Mutex::new(HashMap::new()),
+        pending: Mutex::new(HashMap::new()),
         next_query: AtomicU64::new(1),
     });
     let pinging = async {
@@ -146,19 +148,21 @@
         }
     };
     let reading = async {
-        let mut inbox = Inbox::new(stream, owner.to_string());
+        let mut reader = MessageReader::new(stream, owner.to_string());
         loop {
-            match inbox.receive::<OwnerReply>(SILENCE).await {
-                Err(error) => return Ended::Lost(error),
+            match reader.receive::<OwnerReply>(SILENCE_TIMEOUT).await {
+                Err(error) => return DisconnectReason::Lost(error),
                 Ok(answers) => {
                     for answer in answers {
                         match answer {
-                            OwnerReply::Redirect { owner } => return Ended::Redirected(owner),
+                            OwnerReply::Redirect { owner } => {
+                                return DisconnectReason::Redirected(owner)
+                            }
                             OwnerReply::Pong { entries, is_valid } => {
-                                joined(&follower, entries);
+                                on_pong(&follower, entries);
                                 // A vacant lock can be claimed by this entry.
                                 if !is_valid && directory::is_replaced(store, owner, true).await {
-                                    return Ended::Redirected(None);
+                                    return DisconnectReason::Redirected(None);
                                 }
                             }
                             OwnerReply::State { query, .. }
@@ -172,13 +176,13 @@
     };
     let stopping = async {
         shutdown.wait().await;
-        Ended::Shutdown
+        DisconnectReason::Shutdown
     };
     future::or(
         reading,
         future::or(stopping, async {
             pinging.await;
-            Ended::Shutdown
+            DisconnectReason::Shutdown
         }),
     )
     .await
--- a/crates/hosted/src/lib.rs
+++ b/crates/hosted/src/lib.rs
@@ -11,6 +11,6 @@
 mod directory;
 mod election;
 mod follower;
-mod keeper;
-mod office;
+mod owner_service;
+mod ownership;
 mod sessions;
--- a/crates/hosted/src/office.rs
+++ b/crates/hosted/src/owner_service.rs
@@ -16,37 +16,37 @@
 use crate::decisions;
 
 /// Time of day in milliseconds since 1970.
-pub(crate) fn wall_ms() -> u64 {
+pub(crate) fn unix_ms() -> u64 {
     // A time of day before 1970 makes nothing due.
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |time| time.as_millis() as u64)
 }
 
 /// The owner and the outboxes of its agents. Lock order: `owner`, then `outboxes`.
 #[derive(Debug)]
-pub(crate) struct Office {
+pub(crate) struct OwnerService {
     owner: Mutex<Owner>,
     outboxes: Mutex<HashMap<Session, Outbox<OwnerMessage>>>,
     /// Entries that are connected, and all that ever were.
     entries: Mutex<BTreeSet<SocketAddr>>,
-    known: Mutex<BTreeSet<SocketAddr>>,
+    all_entries: Mutex<BTreeSet<SocketAddr>>,
     /// Wakes the committer.
-    changed: Sender<()>,
-    pub(crate) changes: Receiver<()>,
+    commit_trigger: Sender<()>,
+    pub(crate) commit_requests: Receiver<()>,
     end: Trigger,
     pub(crate) ended: Shutdown,
 }
 
-impl Office {
+impl OwnerService {
     pub(crate) fn new(owner: Owner, address: SocketAddr) -> Self {
-        let (changed, changes) = async_channel::bounded(1);
+        let (commit_trigger, commit_requests) = async_channel::bounded(1);
         let (end, ended) = peridotfold_wire::shutdown::channel();
-        Office {
+        OwnerService {
             owner: Mutex::new(owner),
             outboxes: Mutex::new(HashMap::new()),
             entries: Mutex::new(BTreeSet::from([address])),
-            known: Mutex::default(),
-            changed,
-            changes,
+            all_entries: Mutex::default(),
+            commit_trigger,
+            commit_requests,
             end,
             ended,
         }
@@ -57,7 +57,7 @@
         let now = runtime::now();
         let mut owner = self.owner.lock();
         let result = change(&mut owner, now);
-        owner.poll(now, wall_ms());
+        owner.poll(now, unix_ms());
         let effects = owner.take_effects();
         let is_changed = owner.has_unwritten();
         let mut outboxes = self.outboxes.lock();
@@ -66,11 +66,11 @@
             match effect {
                 Effect::Log(decision) => decisions::log(&decision),
                 Effect::Send { session, message, .. } => {
-                    let message = self.complete(message);
-                    let is_lost = outboxes
+                    let message = self.with_entries(message);
+                    let is_full = outboxes
                         .get(&session)
                         .is_some_and(|outbox| outbox.try_send(message).is_err());
-                    if is_lost {
+                    if is_full {
                         tracing::warn!(event = "agent_too_slow", session);
                         outboxes.remove(&session);
                     }
@@ -80,7 +80,7 @@
         drop(outboxes);
         if is_changed {
             // A full channel means that the committer will look anyway.
-            let _ = self.changed.try_send(());
+            let _ = self.commit_trigger.try_send(());
         }
         result
     }
@@ -90,7 +90,7 @@
         read(&self.owner.lock(), runtime::now())
     }
 
-    fn complete(&self, message: OwnerMessage) -> OwnerMessage {
+    fn with_entries(&self, message: OwnerMessage) -> OwnerMessage {
         match message {
             OwnerMessage::Pong { sent, permission, weights, .. } => {
                 OwnerMessage::Pong { sent, permission, entries: self.entries(), weights }
@@ -105,12 +105,12 @@
 
     /// Entries that were ever connected, for the time after the ownership.
     pub(crate) fn known_entries(&self) -> Vec<SocketAddr> {
-        self.known.lock().iter().copied().collect()
+        self.all_entries.lock().iter().copied().collect()
     }
 
     pub(crate) fn add_entry(&self, address: SocketAddr) {
         self.entries.lock().insert(address);
-        self.known.lock().insert(address);
+        self.all_entries.lock().insert(address);
     }
 
     pub(crate) fn remove_entry(&self, address: &SocketAddr) {
@@ -120,12 +120,12 @@
     /// Opens the session of an agent.
     pub(crate) fn open_session(&self, node: &str, outbox: Outbox<OwnerMessage>) -> (Slot, Session) {
         let (slot, session, token) = self.update(|owner, now| owner.connect(now, node));
-        self.welcome(&outbox, token);
+        self.send_welcome(&outbox, token);
         self.outboxes.lock().insert(session, outbox);
         (slot, session)
     }
 
-    fn welcome(&self, outbox: &Outbox<OwnerMessage>, token: Token) {
+    fn send_welcome(&self, outbox: &Outbox<OwnerMessage>, token: Token) {
         let welcome = OwnerMessage::Welcome { token, entries: self.entries() };
         if outbox.try_send(welcome).is_err() {
             tracing::info!(event = "agent_lost_early");
@@ -139,13 +139,13 @@
     }
 
     /// Ends the office: all connections close.
-    pub(crate) fn finish(&self) {
+    pub(crate) fn shut_down(&self) {
         self.end.fire();
         self.outboxes.lock().clear();
     }
 
     /// Pause until the owner has something to do without input.
-    pub(crate) fn pause(&self) -> Duration {
+    pub(crate) fn poll_delay(&self) -> Duration {
         self.read(|owner, now| owner.next_poll(now))
     }
 }
--- a/crates/hosted/src/keeper.rs
+++ b/crates/hosted/src/ownership.rs
@@ -13,23 +13,25 @@
 
 use crate::directory;
 use crate::follower;
-use crate::office::Office;
-use crate::ports::{Change, Item, LeaseId, Revision, Store, StoreError, Watched, Write, Written};
+use crate::owner_service::OwnerService;
+use crate::ports::{
+    Change, Item, LeaseId, Revision, Store, StoreError, WatchResult, Write, WriteResult,
+};
 use crate::records::{self, Fence, InboxKey, Lock};
 
 /// Life of the owner's lock after its last renewal: the time without an owner after a loss of its
 /// machine, and the longest outage of the store in which starts go on.
 const LOCK_TTL: Duration = Duration::from_secs(3);
 /// Part of it that the owner uses; the rest covers clock rates and delays.
-const VALID_PERCENT: u32 = 90;
+const VALIDITY_PERCENT: u32 = 90;
 const RENEW_INTERVAL: Duration = Duration::from_millis(700);
 /// Tries to give the lock up: at most one write is under way when the process is told to stop.
-const RELEASE_TRIES: u32 = 3;
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
+const MAX_RELEASE_ATTEMPTS: u32 = 3;
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Longest pause between two tries of a write while the store is away.
-const LONGEST_PAUSE: Duration = Duration::from_millis(400);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(400);
 /// Longest wait of one watch; bounds the time for which a silent connection goes unnoticed.
-const WATCH_WAIT: Duration = Duration::from_secs(2);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// This process, as the store knows it.
 #[derive(Debug, Clone)]
@@ -41,7 +43,7 @@
 
 /// The last known write of the fence.
 #[derive(Debug)]
-struct Held {
+struct FenceState {
     fence: Fence,
     revision: Revision,
     lease: LeaseId,
@@ -49,21 +51,21 @@
 
 /// An ownership.
 #[derive(Debug)]
-pub(crate) struct Keeper<S> {
+pub(crate) struct Ownership<S> {
     store: S,
     identity: Identity,
     /// Held during each write under the fence, so that there is one at a time.
-    held: Mutex<Held>,
+    state: Mutex<FenceState>,
     valid_until: Time,
 }
 
-fn valid_from(sent: Time, ttl: Duration) -> Time {
-    sent + ttl * VALID_PERCENT / 100
+fn validity_end(sent_at: Time, ttl: Duration) -> Time {
+    sent_at + ttl * VALIDITY_PERCENT / 100
 }
 
-impl Held {
+impl FenceState {
     /// Takes over the fence of a later write of this process, if `items` show one.
-    fn follow(&mut self, items: &[Item]) -> bool {
+    fn adopt(&mut self, items: &[Item]) -> bool {
         let stored = items.iter().find(|item| item.key == records::FENCE);
         let fence = stored.and_then(|item| records::decode::<Fence>(&item.value).ok());
         match (stored, fence) {
@@ -79,17 +81,17 @@
     }
 }
 
-fn encoded<T: serde::Serialize>(value: &T) -> Result<bytes::Bytes, StoreError> {
+fn encode_record<T: serde::Serialize>(value: &T) -> Result<bytes::Bytes, StoreError> {
     records::encode(value).map_err(StoreError::Refused)
 }
 
-impl<S: Store> Keeper<S> {
+impl<S: Store> Ownership<S> {
     /// Claims the ownership. `replaces`: revision of a lock of an earlier process of this node,
     /// 0: there is no lock. Returns `None` when another entry was faster.
     pub(crate) async fn claim(
         store: S,
         identity: Identity,
-        replaces: Revision,
+        lock_revision: Revision,
     ) -> Result<Option<Self>, StoreError> {
         let fence_item = store.get(records::FENCE).await?;
         let (last, revision) = match &fence_item {
@@ -101,34 +103,34 @@
                 }
             },
         };
-        let sent = runtime::now();
+        let sent_at = runtime::now();
         let (lease, ttl) = store.open_lease(LOCK_TTL).await?;
         let fence = Fence { epoch: last.epoch + 1, boot: identity.boot, sequence: 0 };
-        let write = claim_write(&identity, fence, (replaces, revision), lease)?;
+        let write = claim_write(&identity, fence, (lock_revision, revision), lease)?;
         match store.write(&write).await? {
-            Written::Done(revision) => {
+            WriteResult::Done(revision) => {
                 tracing::info!(event = "ownership_claimed", epoch = fence.epoch, lease);
-                Ok(Some(Keeper {
+                Ok(Some(Ownership {
                     store,
                     identity,
-                    held: Mutex::new(Held { fence, revision, lease }),
-                    valid_until: valid_from(sent, ttl),
+                    state: Mutex::new(FenceState { fence, revision, lease }),
+                    valid_until: validity_end(sent_at, ttl),
                 }))
             }
-            Written::Conflict(_) | Written::NoLease => Ok(None),
+            WriteResult::Conflict(_) | WriteResult::NoLease => Ok(None),
         }
     }
 
     /// Reads everything that lasts, and returns the office and where its watch begins.
-    pub(crate) async fn open_office(
+    pub(crate) async fn start_service(
         &self,
         settings: OwnerSettings,
-    ) -> Result<(Arc<Office>, Revision), StoreError> {
-        let epoch = self.held.lock().await.fence.epoch;
-        let (inbox, as_of) = self.store.range(records::INBOX).await?;
-        let (progress, _) = self.store.range(records::PROGRESS).await?;
+    ) -> Result<(Arc<OwnerService>, Revision), StoreError> {
+        let epoch = self.state.lock().await.fence.epoch;
+        let (inbox, as_of) = self.store.range(records::INBOX_PREFIX).await?;
+        let (progress, _) = self.store.range(records::PROGRESS_PREFIX).await?;
         let roster = self.store.get(records::ROSTER).await?;
-        let interference = self.store.get(records::PRESS).await?;
+        let interference = self.store.get(records::INTERFERENCE).await?;
         let now = runtime::now();
         let mut owner = Owner::new(OwnerSettings { epoch, ..settings }, now);
         let roster: Vec<String> = match roster.map(|item| records::decode(&item.value)) {
@@ -152,31 +154,31 @@
             Some(Err(error)) => tracing::warn!(event = "press_unreadable", %error),
             None => {}
         }
-        load(&mut owner, now, &inbox, &progress);
-        let office = Arc::new(Office::new(owner, self.identity.address));
-        Ok((office, as_of))
+        restore_jobs(&mut owner, now, &inbox, &progress);
+        let service = Arc::new(OwnerService::new(owner, self.identity.address));
+        Ok((service, as_of))
     }
 
     /// Keeps the ownership until it is lost or the office is ended.
-    pub(crate) async fn run(&self, office: &Office, as_of: Revision) {
-        office.update(|owner, _| owner.set_valid_until(self.valid_until));
+    pub(crate) async fn run(&self, service: &OwnerService, as_of: Revision) {
+        service.update(|owner, _| owner.set_valid_until(self.valid_until));
         let ended = async {
-            office.ended.wait().await;
+            service.ended.wait().await;
         };
-        let work = future::or(self.renew(office), self.commit(office));
-        future::or(ended, future::or(work, self.watch(office, as_of))).await;
+        let work = future::or(self.renew(service), self.commit(service));
+        future::or(ended, future::or(work, self.watch(service, as_of))).await;
     }
 
     /// Gives the ownership up, after a last write of what is not durable yet.
-    pub(crate) async fn release(&self, office: &Office) {
-        while let Some(commit) = office.update(|owner, now| owner.take_commit(now)) {
-            if !self.write(office, &commit).await {
+    pub(crate) async fn release(&self, service: &OwnerService) {
+        while let Some(commit) = service.update(|owner, now| owner.take_commit(now)) {
+            if !self.write(service, &commit).await {
                 return;
             }
         }
-        let mut held = self.held.lock().await;
-        for _ in 0..RELEASE_TRIES {
-            let mut write = match self.fenced(&held) {
+        let mut state = self.state.lock().await;
+        for _ in 0..MAX_RELEASE_ATTEMPTS {
+            let mut write = match self.fenced_write(&state) {
                 Ok((write, _)) => write,
                 Err(error) => {
                     tracing::error!(event = "release_failed", %error);
@@ -185,13 +187,13 @@
             };
             write.removes.push(records::LOCK.to_owned());
             match self.store.write(&write).await {
-                Ok(Written::Done(revision)) => {
-                    held.revision = revision;
+                Ok(WriteResult::Done(revision)) => {
+                    state.revision = revision;
                     tracing::info!(event = "ownership_released");
                     return;
                 }
                 // A write of this process was under way when it was told to stop.
-                Ok(Written::Conflict(items)) if held.follow(&items) => {}
+                Ok(WriteResult::Conflict(items)) if state.adopt(&items) => {}
                 other => {
                     tracing::warn!(event = "release_failed", outcome = ?other);
                     return;
@@ -201,25 +203,26 @@
         tracing::warn!(event = "release_failed", reason = "other writes came first");
     }
 
-    async fn renew(&self, office: &Office) {
+    async fn renew(&self, service: &OwnerService) {
         loop {
             runtime::sleep(RENEW_INTERVAL).await;
-            let sent = runtime::now();
-            let lease = self.held.lock().await.lease;
+            let sent_at = runtime::now();
+            let lease = self.state.lock().await.lease;
             match self.store.renew_lease(lease).await {
                 Ok(true) => {
-                    office.update(|owner, _| owner.set_valid_until(valid_from(sent, LOCK_TTL)));
+                    service
+                        .update(|owner, _| owner.set_valid_until(validity_end(sent_at, LOCK_TTL)));
                 }
                 Ok(false) => {
                     tracing::warn!(event = "lease_ended", lease);
-                    if !self.reclaim(office).await {
+                    if !self.reclaim(service).await {
                         return;
                     }
                 }
                 Err(error) => {
-                    let is_valid = office.read(|owner, now| owner.is_valid(now));
+                    let is_valid = service.read(|owner, now| owner.is_valid(now));
                     tracing::warn!(event = "lease_not_renewed", lease, is_valid, %error);
-                    if !is_valid && self.is_replaced(office).await {
+                    if !is_valid && self.is_replaced(service).await {
                         tracing::warn!(event = "ownership_lost", reason = "another owner");
                         return;
                     }
@@ -230,15 +233,15 @@
 
     /// Tells whether another entry owns the work, by the store or, where that turns this machine
     /// away, by the other entries.
-    async fn is_replaced(&self, office: &Office) -> bool {
-        match directory::lock(&self.store).await {
+    async fn is_replaced(&self, service: &OwnerService) -> bool {
+        match directory::read_lock(&self.store).await {
             Ok(Some((lock, _))) => return lock.boot != self.identity.boot,
             Ok(None) => return false,
             Err(error) => tracing::info!(event = "lock_not_read", %error),
         }
         let Identity { node, address, .. } = &self.identity;
-        for peer in office.known_entries() {
-            let owner = follower::ask_owner(peer, node, *address).await;
+        for peer in service.known_entries() {
+            let owner = follower::query_owner(peer, node, *address).await;
             if owner.is_some_and(|owner| owner != *address) {
                 return true;
             }
@@ -248,30 +251,32 @@
 
     /// Takes the lock again after its lease has ended, if nobody has owned the work since. Tells
     /// whether this process may go on.
-    async fn reclaim(&self, office: &Office) -> bool {
-        let mut held = self.held.lock().await;
+    async fn reclaim(&self, service: &OwnerService) -> bool {
+        let mut state = self.state.lock().await;
         let attempt = async {
-            let sent = runtime::now();
+            let sent_at = runtime::now();
             let (lease, ttl) = self.store.open_lease(LOCK_TTL).await?;
-            let lock = directory::lock(&self.store).await?;
-            let replaces = match lock {
+            let lock = directory::read_lock(&self.store).await?;
+            let lock_revision = match lock {
                 None => 0,
                 Some((lock, revision)) if lock.boot == self.identity.boot => revision,
                 Some(_) => return Ok(None),
             };
-            let last = held.fence;
+            let last = state.fence;
             let fence = Fence { epoch: last.epoch + 1, sequence: 0, ..last };
-            let write = claim_write(&self.identity, fence, (replaces, held.revision), lease)?;
+            let write = claim_write(&self.identity, fence, (lock_revision, state.revision), lease)?;
             Ok(match self.store.write(&write).await? {
-                Written::Done(revision) => Some((fence, revision, lease, valid_from(sent, ttl))),
-                Written::Conflict(_) | Written::NoLease => None,
+                WriteResult::Done(revision) => {
+                    Some((fence, revision, lease, validity_end(sent_at, ttl)))
+                }
+                WriteResult::Conflict(_) | WriteResult::NoLease => None,
             })
         };
         match attempt.await {
             Ok(Some((fence, revision, lease, until))) => {
-                *held = Held { fence, revision, lease };
+                *state = FenceState { fence, revision, lease };
                 tracing::info!(event = "ownership_claimed_again", epoch = fence.epoch);
-                office.update(|owner, _| {
+                service.update(|owner, _| {
                     owner.set_epoch(fence.epoch);
                     owner.set_valid_until(until);
                 });
@@ -293,39 +298,39 @@
         }
     }
 
-    async fn commit(&self, office: &Office) {
+    async fn commit(&self, service: &OwnerService) {
         loop {
-            let pause = office.pause();
+            let pause = service.poll_delay();
             future::or(
                 async {
-                    if office.changes.recv().await.is_err() {
+                    if service.commit_requests.recv().await.is_err() {
                         future::pending::<()>().await;
                     }
                 },
                 runtime::sleep(pause),
             )
             .await;
-            let commit = office.update(|owner, now| owner.take_commit(now));
+            let commit = service.update(|owner, now| owner.take_commit(now));
             match commit {
-                Some(commit) if !self.write(office, &commit).await => return,
+                Some(commit) if !self.write(service, &commit).await => return,
                 _ => {}
             }
         }
     }
 
-    fn fenced(&self, held: &Held) -> Result<(Write, Fence), StoreError> {
-        let fence = Fence { sequence: held.fence.sequence + 1, ..held.fence };
+    fn fenced_write(&self, state: &FenceState) -> Result<(Write, Fence), StoreError> {
+        let fence = Fence { sequence: state.fence.sequence + 1, ..state.fence };
         let mut write = Write::default();
-        write.expect.push((records::FENCE.to_owned(), held.revision));
-        write.puts.push((records::FENCE.to_owned(), encoded(&fence)?, None));
+        write.expect.push((records::FENCE.to_owned(), state.revision));
+        write.puts.push((records::FENCE.to_owned(), encode_record(&fence)?, None));
         Ok((write, fence))
     }
 
     /// Writes until the outcome is known. Tells whether this process still owns the work.
-    async fn write(&self, office: &Office, commit: &Commit) -> bool {
-        let mut held = self.held.lock().await;
-        let (write, fence) = match self.fenced(&held).and_then(|(mut write, fence)| {
-            add(&mut write, commit)?;
+    async fn write(&self, service: &OwnerService, commit: &Commit) -> bool {
+        let mut state = self.state.lock().await;
+        let (write, fence) = match self.fenced_write(&state).and_then(|(mut write, fence)| {
+            add_records(&mut write, commit)?;
             Ok((write, fence))
         }) {
             Ok(write) => write,
@@ -334,24 +339,24 @@
                 return false;
             }
         };
-        let begun = runtime::now();
-        let mut pause = RETRY_PAUSE;
+        let started_at = runtime::now();
+        let mut backoff = RETRY_DELAY;
         loop {
             match self.store.write(&write).await {
-                Ok(Written::Done(revision)) => {
-                    held.fence = fence;
-                    held.revision = revision;
+                Ok(WriteResult::Done(revision)) => {
+                    state.fence = fence;
+                    state.revision = revision;
                     break;
                 }
-                Ok(Written::Conflict(items)) => {
+                Ok(WriteResult::Conflict(items)) => {
                     let stored = items.iter().find(|item| item.key == records::FENCE);
                     let stored_fence =
                         stored.and_then(|item| records::decode::<Fence>(&item.value).ok());
                     match stored {
                         // An earlier try whose answer was lost.
                         Some(item) if stored_fence == Some(fence) => {
-                            held.fence = fence;
-                            held.revision = item.revision;
+                            state.fence = fence;
+                            state.revision = item.revision;
                             break;
                         }
                         _ => {
@@ -364,7 +369,7 @@
                         }
                     }
                 }
-                Ok(Written::NoLease) => {
+                Ok(WriteResult::NoLease) => {
                     tracing::error!(
                         event = "write_refused",
                         reason = "lease in a write without one"
@@ -373,20 +378,20 @@
                 }
                 Err(error) => {
                     tracing::warn!(event = "write_repeated", sequence = fence.sequence, %error);
-                    runtime::sleep(pause).await;
-                    pause = (pause * 2).min(LONGEST_PAUSE);
+                    runtime::sleep(backoff).await;
+                    backoff = (backoff * 2).min(MAX_RETRY_DELAY);
                 }
             }
         }
-        metrics::histogram!("commit_seconds").record((runtime::now() - begun).as_secs_f64());
+        metrics::histogram!("commit_seconds").record((runtime::now() - started_at).as_secs_f64());
         metrics::counter!("commits").increment(1);
-        drop(held);
-        office.update(|owner, _| owner.committed());
+        drop(state);
+        service.update(|owner, _| owner.committed());
         true
     }
 
     /// Tells whether another process has claimed the ownership, by items of the inbox.
-    fn is_succeeded(&self, items: &[Item]) -> bool {
+    fn is_superseded(&self, items: &[Item]) -> bool {
         let lock = items.iter().rfind(|item| item.key == records::LOCK);
         match lock.map(|item| records::decode::<Lock>(&item.value)) {
             Some(Ok(lock)) if lock.boot != self.identity.boot => {
@@ -401,41 +406,45 @@
         }
     }
 
-    async fn watch(&self, office: &Office, as_of: Revision) {
+    async fn watch(&self, service: &OwnerService, as_of: Revision) {
         let mut after = as_of;
         loop {
-            match self.store.watch(records::INBOX, after, WATCH_WAIT).await {
-                Ok(Watched::Changes { changes, as_of }) => {
+            match self.store.watch(records::INBOX_PREFIX, after, WATCH_TIMEOUT).await {
+                Ok(WatchResult::Changes { changes, as_of }) => {
                     after = as_of;
                     let written = |change| match change {
                         Change::Written(item) => Some(item),
                         Change::Removed(_) => None,
                     };
                     let items: Vec<Item> = changes.into_iter().filter_map(written).collect();
-                    if self.is_succeeded(&items) {
+                    if self.is_superseded(&items) {
                         return;
                     }
                     if !items.is_empty() {
-                        office.update(|owner, now| items.iter().for_each(|i| note(owner, now, i)));
+                        service.update(|owner, now| {
+                            items.iter().for_each(|i| apply_inbox_item(owner, now, i))
+                        });
                     }
                 }
-                Ok(Watched::Forgotten) => match self.store.range(records::INBOX).await {
+                Ok(WatchResult::Compacted) => match self.store.range(records::INBOX_PREFIX).await {
                     Ok((items, as_of)) => {
                         tracing::info!(event = "inbox_read_again", items = items.len());
                         after = as_of;
-                        if self.is_succeeded(&items) {
+                        if self.is_superseded(&items) {
                             return;
                         }
-                        office.update(|owner, now| items.iter().for_each(|i| note(owner, now, i)));
+                        service.update(|owner, now| {
+                            items.iter().for_each(|i| apply_inbox_item(owner, now, i))
+                        });
                     }
                     Err(error) => {
                         tracing::warn!(event = "inbox_not_read", %error);
-                        runtime::sleep(RETRY_PAUSE).await;
+                        runtime::sleep(RETRY_DELAY).await;
                     }
                 },
                 Err(error) => {
-                    tracing::warn!(event = "watch_failed", prefix = records::INBOX, %error);
-                    runtime::sleep(RETRY_PAUSE).await;
+                    tracing::warn!(event = "watch_failed", prefix = records::INBOX_PREFIX, %error);
+                    runtime::sleep(RETRY_DELAY).await;
                 }
             }
         }
@@ -455,16 +464,16 @@
             (records::FENCE.to_owned(), fence_revision),
         ],
         puts: vec![
-            (records::LOCK.to_owned(), encoded(&lock)?, Some(lease)),
-            (records::FENCE.to_owned(), encoded(&fence)?, None),
+            (records::LOCK.to_owned(), encode_record(&lock)?, Some(lease)),
+            (records::FENCE.to_owned(), encode_record(&fence)?, None),
         ],
         removes: Vec::new(),
     })
 }
 
-fn add(write: &mut Write, commit: &Commit) -> Result<(), StoreError> {
+fn add_records(write: &mut Write, commit: &Commit) -> Result<(), StoreError> {
     for Record { job, progress, drops_cancel } in &commit.records {
-        write.puts.push((records::progress_key(*job), encoded(progress)?, None));
+        write.puts.push((records::progress_key(*job), encode_record(progress)?, None));
         if progress.phase.is_final() {
             write.removes.push(records::job_key(*job));
         }
@@ -473,17 +482,17 @@
         }
     }
     if let Some(interference) = &commit.interference {
-        write.puts.push((records::PRESS.to_owned(), encoded(interference)?, None));
+        write.puts.push((records::INTERFERENCE.to_owned(), encode_record(interference)?, None));
     }
     if let Some(roster) = &commit.roster {
-        write.puts.push((records::ROSTER.to_owned(), encoded(roster)?, None));
+        write.puts.push((records::ROSTER.to_owned(), encode_record(roster)?, None));
     }
     write.removes.extend(commit.expired.iter().map(|job| records::progress_key(*job)));
     Ok(())
 }
 
 /// Applies an item of the inbox.
-fn note(owner: &mut Owner, now: Time, item: &Item) {
+fn apply_inbox_item(owner: &mut Owner, now: Time, item: &Item) {
     match records::inbox_key(&item.key) {
         Some(InboxKey::Job(job)) => match records::decode(&item.value) {
             Ok(spec) => owner.submit(now, job, spec),
@@ -496,7 +505,7 @@
 }
 
 /// Restores the jobs of a predecessor.
-fn load(owner: &mut Owner, now: Time, inbox: &[Item], progress: &[Item]) {
+fn restore_jobs(owner: &mut Owner, now: Time, inbox: &[Item], progress: &[Item]) {
     let mut records = std::collections::BTreeMap::new();
     for item in progress {
         match (records::progress_job(&item.key), records::decode(&item.value)) {
--- a/crates/hosted/src/ports.rs
+++ b/crates/hosted/src/ports.rs
@@ -49,13 +49,13 @@
 
 /// Answer of a watch.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Watched {
+pub enum WatchResult {
     Changes {
         changes: Vec<Change>,
         as_of: Revision,
     },
     /// The history since the given revision is no longer there.
-    Forgotten,
+    Compacted,
 }
 
 /// A conditional write of all or nothing.
@@ -69,7 +69,7 @@
 
 /// Answer to a write.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Written {
+pub enum WriteResult {
     Done(Revision),
     /// A condition did not hold; these of its keys exist.
     Conflict(Vec<Item>),
@@ -93,10 +93,10 @@
         prefix: &str,
         after: Revision,
         wait: Duration,
-    ) -> impl Future<Output = Result<Watched, StoreError>> + Send;
+    ) -> impl Future<Output = Result<WatchResult, StoreError>> + Send;
 
     /// Writes.
-    fn write(&self, write: &Write) -> impl Future<Output = Result<Written, StoreError>> + Send;
+    fn write(&self, write: &Write) -> impl Future<Output = Result<WriteResult, StoreError>> + Send;
 
     /// Opens a lease.
     fn open_lease(
--- a/crates/hosted/src/records.rs
+++ b/crates/hosted/src/records.rs
@@ -9,11 +9,11 @@
 use peridotfold_core::flow::model::JobNumber;
 
 /// Accepted jobs, cancels and the lock; the owner watches it.
-pub const INBOX: &str = "in/";
-const JOBS: &str = "in/j/";
-const CANCELS: &str = "in/x/";
+pub const INBOX_PREFIX: &str = "in/";
+const JOB_PREFIX: &str = "in/j/";
+const CANCEL_PREFIX: &str = "in/x/";
 /// Progress of jobs.
-pub const PROGRESS: &str = "st/";
+pub const PROGRESS_PREFIX: &str = "st/";
 /// Who owns the work; lives as long as the owner's lease. It stands in the inbox, so that an owner whose
 /// lock was taken away sees its successor's claim before any job that is accepted later.
 pub const LOCK: &str = "in/owner";
@@ -22,7 +22,7 @@
 /// Nodes on which tasks may run.
 pub const ROSTER: &str = "own/roster";
 /// What an owner has learned of the press of images.
-pub const PRESS: &str = "own/press";
+pub const INTERFERENCE: &str = "own/press";
 
 /// What a key of the inbox stands for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -34,23 +34,23 @@
 
 /// Key of an accepted job.
 pub fn job_key(job: JobNumber) -> String {
-    format!("{JOBS}{job:016x}")
+    format!("{JOB_PREFIX}{job:016x}")
 }
 
 /// Key of a cancel.
 pub fn cancel_key(job: JobNumber) -> String {
-    format!("{CANCELS}{job:016x}")
+    format!("{CANCEL_PREFIX}{job:016x}")
 }
 
 /// Key of a job's progress.
 pub fn progress_key(job: JobNumber) -> String {
-    format!("{PROGRESS}{job:016x}")
+    format!("{PROGRESS_PREFIX}{job:016x}")
 }
 
 /// Reads a key of the inbox.
 pub fn inbox_key(key: &str) -> Option<InboxKey> {
     let number = |text: &str| JobNumber::from_str_radix(text, 16).ok();
-    match (key.strip_prefix(JOBS), key.strip_prefix(CANCELS)) {
+    match (key.strip_prefix(JOB_PREFIX), key.strip_prefix(CANCEL_PREFIX)) {
         _ if key == LOCK => Some(InboxKey::Lock),
         (Some(job), _) => number(job).map(InboxKey::Job),
         (_, Some(job)) => number(job).map(InboxKey::Cancel),
@@ -60,7 +60,7 @@
 
 /// Reads the job of a progress key.
 pub fn progress_job(key: &str) -> Option<JobNumber> {
-    JobNumber::from_str_radix(key.strip_prefix(PROGRESS)?, 16).ok()
+    JobNumber::from_str_radix(key.strip_prefix(PROGRESS_PREFIX)?, 16).ok()
 }
 
 /// Value of the lock.
--- a/crates/hosted/src/sessions.rs
+++ b/crates/hosted/src/sessions.rs
@@ -11,13 +11,13 @@
 use peridotfold_wire::runtime;
 use smol::net::TcpStream;
 
-use crate::connection::{self, Inbox, Outbox};
+use crate::connection::{self, MessageReader, Outbox};
 use crate::entry::{Entry, Role};
-use crate::office::Office;
+use crate::owner_service::OwnerService;
 use crate::ports::Store;
 
 /// Silence after which a peer is taken to be lost; peers ask for permission each second.
-const SILENCE: Duration = Duration::from_millis(3_500);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(3_500);
 const GREETING_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Serves one connection.
@@ -25,8 +25,8 @@
     if let Err(error) = stream.set_nodelay(true) {
         tracing::warn!(event = "nodelay_not_set", %peer, %error);
     }
-    let mut inbox = Inbox::new(stream.clone(), peer.to_string());
-    let greeting = match inbox.receive_one::<Greeting>(GREETING_TIMEOUT).await {
+    let mut reader = MessageReader::new(stream.clone(), peer.to_string());
+    let greeting = match reader.receive_one::<Greeting>(GREETING_TIMEOUT).await {
         Ok(greeting) => greeting,
         Err(error) => {
             tracing::info!(event = "connection_refused", %peer, %error);
@@ -35,23 +35,23 @@
     };
     let (role, owner) = entry.role();
     match (role, greeting) {
-        (Role::Owner(office), Greeting::Agent { node }) => {
-            agent(stream, inbox, &office, &node).await
+        (Role::Owner(service), Greeting::Agent { node }) => {
+            serve_agent(stream, reader, &service, &node).await
         }
-        (Role::Owner(office), Greeting::Entry { node, address }) => {
+        (Role::Owner(service), Greeting::Entry { node, address }) => {
             tracing::info!(event = "entry_connected", node, %address);
-            office.add_entry(address);
-            follower(stream, inbox, &office, &entry).await;
-            office.remove_entry(&address);
+            service.add_entry(address);
+            serve_entry(stream, reader, &service, &entry).await;
+            service.remove_entry(&address);
             tracing::info!(event = "entry_lost", node, %address);
         }
         (_, Greeting::Agent { .. }) => {
             let outbox = connection::start_writer(stream, peer.to_string());
-            send(&outbox, OwnerMessage::Redirect { owner }, inbox.peer());
+            send(&outbox, OwnerMessage::Redirect { owner }, reader.peer());
         }
         (_, Greeting::Entry { .. }) => {
             let outbox = connection::start_writer(stream, peer.to_string());
-            send(&outbox, OwnerReply::Redirect { owner }, inbox.peer());
+            send(&outbox, OwnerReply::Redirect { owner }, reader.peer());
         }
     }
 }
@@ -62,17 +62,24 @@
     }
 }
 
-async fn agent(stream: TcpStream, mut inbox: Inbox, office: &Office, node: &str) {
-    let outbox = connection::start_writer(stream, inbox.peer().to_owned());
-    let (slot, session) = office.open_session(node, outbox);
+async fn serve_agent(
+    stream: TcpStream,
+    mut reader: MessageReader,
+    service: &OwnerService,
+    node: &str,
+) {
+    let outbox = connection::start_writer(stream, reader.peer().to_owned());
+    let (slot, session) = service.open_session(node, outbox);
     loop {
-        let received =
-            future::or(async { Some(inbox.receive::<AgentMessage>(SILENCE).await) }, async {
-                office.ended.wait().await;
+        let received = future::or(
+            async { Some(reader.receive::<AgentMessage>(SILENCE_TIMEOUT).await) },
+            async {
+                service.ended.wait().await;
                 None
-            });
+            },
+        );
         match received.await {
-            Some(Ok(messages)) => office.update(|owner, now| {
+            Some(Ok(messages)) => service.update(|owner, now| {
                 for message in messages {
                     owner.receive(now, slot, session, message);
                 }
@@ -84,61 +91,63 @@
             None => break,
         }
     }
-    office.close_session(slot, session);
+    service.close_session(slot, session);
 }
 
-async fn follower<S: Store>(
+async fn serve_entry<S: Store>(
     stream: TcpStream,
-    mut inbox: Inbox,
-    office: &Arc<Office>,
+    mut reader: MessageReader,
+    service: &Arc<OwnerService>,
     entry: &Arc<Entry<S>>,
 ) {
-    let outbox = connection::start_writer(stream, inbox.peer().to_owned());
+    let outbox = connection::start_writer(stream, reader.peer().to_owned());
     loop {
-        let received =
-            future::or(async { Some(inbox.receive::<EntryRequest>(SILENCE).await) }, async {
-                office.ended.wait().await;
+        let received = future::or(
+            async { Some(reader.receive::<EntryRequest>(SILENCE_TIMEOUT).await) },
+            async {
+                service.ended.wait().await;
                 None
-            });
+            },
+        );
         let messages = match received.await {
             Some(Ok(messages)) => messages,
             Some(Err(error)) => {
-                tracing::info!(event = "entry_connection_lost", peer = inbox.peer(), %error);
+                tracing::info!(event = "entry_connection_lost", peer = reader.peer(), %error);
                 return;
             }
             None => return,
         };
         for message in messages {
-            answer(message, office, entry, &outbox, inbox.peer());
+            answer_request(message, service, entry, &outbox, reader.peer());
         }
     }
 }
 
-fn answer<S: Store>(
-    ask: EntryRequest,
-    office: &Arc<Office>,
+fn answer_request<S: Store>(
+    request: EntryRequest,
+    service: &Arc<OwnerService>,
     entry: &Arc<Entry<S>>,
     outbox: &Outbox<OwnerReply>,
     peer: &str,
 ) {
-    match ask {
+    match request {
         // Without a valid lease another owner may know better.
         EntryRequest::State { .. } | EntryRequest::Waiting { .. }
-            if !office.read(|owner, now| owner.is_valid(now)) => {}
+            if !service.read(|owner, now| owner.is_valid(now)) => {}
         EntryRequest::Ping => {
-            let is_valid = office.read(|owner, now| owner.is_valid(now));
-            send(outbox, OwnerReply::Pong { entries: office.entries(), is_valid }, peer);
+            let is_valid = service.read(|owner, now| owner.is_valid(now));
+            send(outbox, OwnerReply::Pong { entries: service.entries(), is_valid }, peer);
         }
         EntryRequest::State { query, job } => {
-            let state = office.read(|owner, _| owner.phase(job));
+            let state = service.read(|owner, _| owner.phase(job));
             send(outbox, OwnerReply::State { query, state }, peer);
         }
         EntryRequest::Waiting { query, queue } => {
-            let count = Some(office.read(|owner, _| owner.waiting(&queue)));
+            let count = Some(service.read(|owner, _| owner.waiting(&queue)));
             send(outbox, OwnerReply::Waiting { query, count }, peer);
         }
         EntryRequest::Submit { query, .. } | EntryRequest::Cancel { query, .. }
-            if entry.is_dark() =>
+            if entry.is_store_down() =>
         {
             send(outbox, OwnerReply::Stored { query, outcome: Stored::No }, peer);
         }
--- a/crates/hosted/tests/suite/entry.rs
+++ b/crates/hosted/tests/suite/entry.rs
@@ -62,17 +62,17 @@
 /// Guards against "not accepted" for a job that is stored, or may be stored later.
 #[test]
 fn a_write_whose_answer_is_lost_is_never_called_refused() {
-    for is_done in [false, true] {
+    for is_applied in [false, true] {
         let store = MemoryStore::default();
         let entry = entry(&store);
         smol::block_on(async {
-            store.lose_answers(1, is_done);
+            store.lose_answers(1, is_applied);
             assert_eq!(
                 entry.submit(JOB, &spec(), LIMIT).await,
                 Stored::Yes,
                 "resolved by a repeat"
             );
-            store.lose_answers(1_000, is_done);
+            store.lose_answers(1_000, is_applied);
             let other = entry.submit(JOB + 1, &spec(), Duration::from_millis(300)).await;
             assert_eq!(other, Stored::Unclear);
         });
--- a/crates/hosted/tests/suite/ownership.rs
+++ b/crates/hosted/tests/suite/ownership.rs
@@ -13,7 +13,7 @@
 use crate::support::{settings, spec, MemoryStore};
 
 /// Longest time to a new owner once the lock is vacant: a lost pong, a search and a claim.
-const TAKEOVER: Duration = Duration::from_secs(6);
+const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(6);
 
 fn start(node: &str, store: &MemoryStore) -> Trigger {
     start_entry(node, store).1
@@ -31,9 +31,9 @@
 }
 
 /// Waits until the lock names this node.
-async fn owns(store: &MemoryStore, node: &str) -> bool {
-    let begun = Instant::now();
-    while begun.elapsed() < TAKEOVER {
+async fn wait_for_owner(store: &MemoryStore, node: &str) -> bool {
+    let started_at = Instant::now();
+    while started_at.elapsed() < TAKEOVER_TIMEOUT {
         let lock = store.peek(records::LOCK);
         let lock = lock.and_then(|value| records::decode::<records::Lock>(&value).ok());
         if lock.is_some_and(|lock| lock.node == node) {
@@ -51,15 +51,15 @@
     smol::block_on(async {
         let store = MemoryStore::default();
         let first = start("first", &store);
-        assert!(owns(&store, "first").await);
-        let second_store = store.other();
+        assert!(wait_for_owner(&store, "first").await);
+        let second_store = store.second_handle();
         let second = start("second", &second_store);
         // Until the second follows the first.
         runtime::sleep(Duration::from_millis(500)).await;
         store.refuse(true);
         runtime::sleep(Duration::from_secs(3)).await;
         store.expire(records::LOCK);
-        assert!(owns(&store, "second").await);
+        assert!(wait_for_owner(&store, "second").await);
         drop((first, second));
     });
 }
@@ -71,14 +71,14 @@
     smol::block_on(async {
         let store = MemoryStore::default();
         let (first, first_stop) = start_entry("first", &store);
-        assert!(owns(&store, "first").await);
+        assert!(wait_for_owner(&store, "first").await);
         let before = store.writes();
         store.delay_answers(Duration::from_millis(200));
         let stored = first.submit(1, &spec(), Duration::from_secs(1)).await;
         assert_eq!(stored, Stored::Yes);
         first.cancel(1, Duration::from_secs(1)).await;
-        let begun = Instant::now();
-        while store.writes() < before + 3 && begun.elapsed() < Duration::from_secs(2) {
+        let started_at = Instant::now();
+        while store.writes() < before + 3 && started_at.elapsed() < Duration::from_secs(2) {
             runtime::sleep(Duration::from_millis(5)).await;
         }
         first_stop.fire();
@@ -95,16 +95,16 @@
     smol::block_on(async {
         let store = MemoryStore::default();
         let (first, stop) = start_entry("first", &store);
-        assert!(owns(&store, "first").await);
-        let begun = Instant::now();
-        while first.waiting("q").await.is_none() && begun.elapsed() < TAKEOVER {
+        assert!(wait_for_owner(&store, "first").await);
+        let started_at = Instant::now();
+        while first.waiting("q").await.is_none() && started_at.elapsed() < TAKEOVER_TIMEOUT {
             runtime::sleep(Duration::from_millis(20)).await;
         }
         let address = SocketAddr::from(([127, 0, 0, 1], 9));
         let lock = records::Lock { node: "other".to_owned(), boot: 1, address };
         store.put(records::LOCK, records::encode(&lock).expect("a record"));
-        let begun = Instant::now();
-        while first.waiting("q").await.is_some() && begun.elapsed() < TAKEOVER {
+        let started_at = Instant::now();
+        while first.waiting("q").await.is_some() && started_at.elapsed() < TAKEOVER_TIMEOUT {
             runtime::sleep(Duration::from_millis(20)).await;
         }
         assert_eq!(first.waiting("q").await, None, "it still owns the work");
@@ -119,19 +119,19 @@
     smol::block_on(async {
         let store = MemoryStore::default();
         let (first, first_stop) = start_entry("first", &store);
-        assert!(owns(&store, "first").await);
-        let second_store = store.other();
+        assert!(wait_for_owner(&store, "first").await);
+        let second_store = store.second_handle();
         let second_stop = start("second", &second_store);
         runtime::sleep(Duration::from_millis(500)).await;
         store.refuse(true);
         runtime::sleep(Duration::from_secs(3)).await;
         store.expire(records::LOCK);
-        assert!(owns(&store, "second").await);
-        let begun = Instant::now();
+        assert!(wait_for_owner(&store, "second").await);
+        let started_at = Instant::now();
         let mut job = 1;
         let is_stored = loop {
             let outcome = first.submit(job, &spec(), Duration::from_secs(1)).await;
-            if outcome == Stored::Yes || begun.elapsed() > TAKEOVER {
+            if outcome == Stored::Yes || started_at.elapsed() > TAKEOVER_TIMEOUT {
                 break outcome == Stored::Yes;
             }
             job += 1;
--- a/crates/hosted/tests/suite/support.rs
+++ b/crates/hosted/tests/suite/support.rs
@@ -13,7 +13,7 @@
 use peridotfold_core::flow::routes::Routes;
 use peridotfold_hosted::entry::EntrySettings;
 use peridotfold_hosted::ports::{
-    Item, LeaseId, Revision, Store, StoreError, Watched, Write, Written,
+    Item, LeaseId, Revision, Store, StoreError, WatchResult, Write, WriteResult,
 };
 use peridotfold_wire::runtime;
 
@@ -22,20 +22,20 @@
     items: BTreeMap<String, Item>,
     revision: Revision,
     writes: u32,
-    lost: u32,
-    lost_is_done: bool,
-    crossing: Option<(u32, Write)>,
+    lost_answers: u32,
+    lost_applied: bool,
+    delayed_write: Option<(u32, Write)>,
     delay: Duration,
 }
 
 impl Table {
-    fn apply(&mut self, write: &Write) -> Written {
+    fn apply(&mut self, write: &Write) -> WriteResult {
         let holds = |(key, revision): &(String, Revision)| {
             self.items.get(key).map_or(0, |item| item.revision) == *revision
         };
         if !write.expect.iter().all(holds) {
             let named = write.expect.iter().filter_map(|(key, _)| self.items.get(key).cloned());
-            return Written::Conflict(named.collect());
+            return WriteResult::Conflict(named.collect());
         }
         self.revision += 1;
         for (key, value, _) in &write.puts {
@@ -45,7 +45,7 @@
         for key in &write.removes {
             self.items.remove(key);
         }
-        Written::Done(self.revision)
+        WriteResult::Done(self.revision)
     }
 }
 
@@ -56,14 +56,14 @@
 impl MemoryStore {
     /// Performs a write after so many reads.
     pub fn write_after_reads(&self, reads: u32, write: Write) {
-        self.0.lock().crossing = Some((reads, write));
+        self.0.lock().delayed_write = Some((reads, write));
     }
 
     /// Loses the answers of the next writes, which are carried out or not.
-    pub fn lose_answers(&self, count: u32, is_done: bool) {
+    pub fn lose_answers(&self, count: u32, is_applied: bool) {
         let mut table = self.0.lock();
-        table.lost = count;
-        table.lost_is_done = is_done;
+        table.lost_answers = count;
+        table.lost_applied = is_applied;
     }
 
     /// Delays the answers of writes, which are carried out at once.
@@ -72,7 +72,7 @@
     }
 
     /// Another process's handle of the same table.
-    pub fn other(&self) -> Self {
+    pub fn second_handle(&self) -> Self {
         MemoryStore(self.0.clone(), Arc::default())
     }
 
@@ -112,11 +112,11 @@
     async fn get(&self, key: &str) -> Result<Option<Item>, StoreError> {
         self.check()?;
         let mut table = self.0.lock();
-        match table.crossing.take() {
+        match table.delayed_write.take() {
             Some((0, write)) => {
                 table.apply(&write);
             }
-            Some((reads, write)) => table.crossing = Some((reads - 1, write)),
+            Some((reads, write)) => table.delayed_write = Some((reads - 1, write)),
             None => {}
         }
         Ok(table.items.get(key).cloned())
@@ -129,20 +129,20 @@
         Ok((items.collect(), table.revision))
     }
 
-    async fn watch(&self, _: &str, _: Revision, wait: Duration) -> Result<Watched, StoreError> {
+    async fn watch(&self, _: &str, _: Revision, wait: Duration) -> Result<WatchResult, StoreError> {
         self.check()?;
         runtime::sleep(wait).await;
-        Ok(Watched::Forgotten)
+        Ok(WatchResult::Compacted)
     }
 
-    async fn write(&self, write: &Write) -> Result<Written, StoreError> {
+    async fn write(&self, write: &Write) -> Result<WriteResult, StoreError> {
         let (written, delay) = {
             let mut table = self.0.lock();
             table.writes += 1;
             self.check()?;
-            if table.lost > 0 {
-                table.lost -= 1;
-                if table.lost_is_done {
+            if table.lost_answers > 0 {
+                table.lost_answers -= 1;
+                if table.lost_applied {
                     table.apply(write);
                 }
                 return Err(StoreError::Unclear("lost".to_owned()));
