--- a/crates/hosted/src/connection.rs
+++ b/crates/hosted/src/connection.rs
@@ -1,7 +1,7 @@
-//! Connections between the hosted processes: frames in both directions on one stream.
+//! Connections between entries and agents: encoded messages in both directions on one TCP stream.
 //!
-//! Messages that wait are written together, since each system call costs as much as several
-//! messages on a machine with a tenth of a core.
+//! Queued messages are written in batches, because on a machine with a tenth of a core one system
+//! call costs as much as several messages.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,18 +16,19 @@
 use serde::Serialize;
 use smol::net::TcpStream;
 
-/// Messages that may wait for a slow peer before the connection is given up.
+/// Maximum number of messages queued for a slow peer before the connection is closed.
 const OUTBOX_CAPACITY: usize = 8_192;
+/// Maximum number of bytes read by one system call.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
-/// Bytes written at a time.
+/// Size at which a batch of messages is written without waiting for more.
 const MAX_WRITE_BYTES: usize = 64 * 1024;
 const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Queue of a connection's writer.
+/// Queue of messages that a connection's writer task sends. Dropping it closes the connection.
 pub(crate) type Outbox<T> = Sender<T>;
 
-/// Opens a connection.
+/// Opens a connection with `TCP_NODELAY` set.
 pub(crate) async fn connect(address: SocketAddr) -> Result<TcpStream, WireError> {
     let peer = address.to_string();
     let connecting = async {
@@ -42,7 +43,7 @@
     Ok(stream)
 }
 
-/// Writes the first message of a connection.
+/// Sends the greeting, the first message on a connection.
 pub(crate) async fn send_greeting(
     stream: &TcpStream,
     greeting: &Greeting,
@@ -53,7 +54,7 @@
     stream.clone().write_all(&bytes).await.map_err(|error| fail(error.to_string()))
 }
 
-/// Starts the writer of a connection. The connection closes when the outbox is dropped.
+/// Starts the writer task of a connection. The connection closes when the returned outbox is dropped.
 pub(crate) fn start_writer<T: Serialize + Send + 'static>(
     stream: TcpStream,
     peer: String,
@@ -63,7 +64,7 @@
         if let Err(error) = write_all(&stream, &peer, receiver).await {
             tracing::info!(event = "connection_lost", %peer, %error);
         }
-        // Wakes the reader too. The peer may have closed first.
+        // Wakes the reader too. Fails if the peer closed the connection first.
         if let Err(error) = stream.shutdown(std::net::Shutdown::Both) {
             tracing::debug!(event = "shutdown_failed", %peer, %error);
         }
@@ -72,6 +73,7 @@
     sender
 }
 
+/// Writes queued messages until the outbox is dropped.
 async fn write_all<T: Serialize>(
     stream: &TcpStream,
     peer: &str,
@@ -92,7 +94,7 @@
     Ok(())
 }
 
-/// Reads the messages of a connection.
+/// Reads and decodes the messages of a connection.
 #[derive(Debug)]
 pub(crate) struct MessageReader {
     stream: TcpStream,
@@ -105,11 +107,13 @@
         MessageReader { stream, peer, buffer: BytesMut::new() }
     }
 
+    /// Returns the peer's address for log lines.
     pub(crate) fn peer(&self) -> &str {
         &self.peer
     }
 
-    /// Returns the next message alone; later ones stay in the buffer.
+    /// Returns the next message; later messages stay in the buffer. Fails if no bytes arrive within
+    /// `timeout`.
     pub(crate) async fn receive_one<T: DeserializeOwned>(
         &mut self,
         timeout: Duration,
@@ -122,7 +126,7 @@
         }
     }
 
-    /// Returns the next messages, at least one; fails when none comes within `silence`.
+    /// Returns all messages received so far, at least one. Fails if no bytes arrive within `timeout`.
     pub(crate) async fn receive<T: DeserializeOwned>(
         &mut self,
         timeout: Duration,
@@ -139,11 +143,13 @@
         }
     }
 
+    /// Decodes the next message in the buffer; `None` if it is incomplete.
     fn decode<T: DeserializeOwned>(&mut self) -> Result<Option<T>, WireError> {
         frame::decode(&mut self.buffer)
             .map_err(|error| WireError::new(Step::Decode, self.peer.as_str(), error))
     }
 
+    /// Reads from the stream into the buffer.
     async fn read_more(&mut self, timeout: Duration) -> Result<(), WireError> {
         let mut chunk = [0; READ_BUFFER_BYTES];
         let read = future::or(async { Some(self.stream.read(&mut chunk).await) }, async {
--- a/crates/hosted/src/decisions.rs
+++ b/crates/hosted/src/decisions.rs
@@ -1,8 +1,8 @@
-//! Log lines of decisions.
+//! Logging of scheduling decisions.
 
 use peridotfold_core::flow::owner::Decision;
 
-/// Writes one line for a decision.
+/// Logs a decision and counts it by event.
 pub(crate) fn log(decision: &Decision) {
     let Decision { event, job, detail } = decision;
     metrics::counter!("decisions", "event" => *event).increment(1);
--- a/crates/hosted/src/directory.rs
+++ b/crates/hosted/src/directory.rs
@@ -1,4 +1,4 @@
-//! Where the owner is, and which entries know.
+//! Search for the owner, in the store or by asking known entries.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -7,25 +7,26 @@
 use crate::ports::{Store, StoreError};
 use crate::records::{self, Lock};
 
-/// Pause between two searches for the owner.
+/// Delay between two searches for the owner, without jitter.
 const SEARCH_INTERVAL: Duration = Duration::from_millis(250);
-/// Random addition, so that agents do not search in step.
+/// Maximum random addition to the delay, so that processes do not search at the same time.
 const SEARCH_JITTER_MS: u64 = 100;
 
-/// Entries that were heard of, in the order in which they are asked.
+/// Known entries, which are asked in turn for the owner while the store does not answer.
 #[derive(Debug, Default)]
 pub(crate) struct Directory {
     entries: BTreeSet<SocketAddr>,
+    /// Number of entries asked so far; selects the next one.
     attempts: usize,
 }
 
 impl Directory {
-    /// Adds entries.
+    /// Adds entries that other processes reported.
     pub(crate) fn add(&mut self, entries: impl IntoIterator<Item = SocketAddr>) {
         self.entries.extend(entries);
     }
 
-    /// Returns the next entry to ask when the store does not answer.
+    /// Returns the next entry to ask; `None` if no entry is known.
     pub(crate) fn next_entry(&mut self) -> Option<SocketAddr> {
         let count = self.entries.len();
         self.attempts += 1;
@@ -33,7 +34,7 @@
     }
 }
 
-/// Reads who holds the lock.
+/// Reads the lock and its revision; `None` if no process holds it.
 pub(crate) async fn read_lock<S: Store>(store: &S) -> Result<Option<(Lock, u64)>, StoreError> {
     let Some(item) = store.get(records::LOCK).await? else { return Ok(None) };
     match records::decode::<Lock>(&item.value) {
@@ -45,8 +46,8 @@
     }
 }
 
-/// Tells whether the store names another owner than the one at `address`. `vacant` is the answer
-/// when it names none.
+/// Tells whether the lock names another owner than the one at `address`. Returns `vacant` if no
+/// process holds the lock, and `false` if the store does not answer.
 pub(crate) async fn is_replaced<S: Store>(store: &S, address: SocketAddr, vacant: bool) -> bool {
     match read_lock(store).await {
         Ok(Some((lock, _))) => lock.address != address,
@@ -58,7 +59,7 @@
     }
 }
 
-/// Pause before the next search.
+/// Returns the delay before the next search, with jitter.
 pub(crate) fn search_delay() -> Duration {
     SEARCH_INTERVAL + Duration::from_millis(fastrand::u64(0..SEARCH_JITTER_MS))
 }
--- a/crates/hosted/src/election.rs
+++ b/crates/hosted/src/election.rs
@@ -1,4 +1,5 @@
-//! Finds the owner, follows it, and claims the ownership when there is none.
+//! Election of the owner: an entry follows the current owner and claims the ownership if there is
+//! none.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,12 +13,15 @@
 use crate::ownership::Ownership;
 use crate::ports::{Revision, Store};
 
-/// Delay before a claim for each whole core less than a machine has: larger machines come first.
+/// Delay before a claim by an entry with one core. The delay is inversely proportional to the cores,
+/// so that entries with more CPU claim first.
 const CLAIM_DELAY_PER_CORE_MS: f64 = 20.0;
+/// Upper bound on the delay before a claim, without jitter.
 const MAX_CLAIM_DELAY: Duration = Duration::from_millis(500);
+/// Maximum random addition to the delay before a claim.
 const CLAIM_JITTER_MS: u64 = 40;
 
-/// Runs until the shutdown.
+/// Follows or owns until the shutdown. After `retiring` is set, the entry claims no ownership.
 pub(crate) async fn run<S: Store>(entry: Arc<Entry<S>>, retiring: Shutdown, shutdown: Shutdown) {
     let mut directory = Directory::default();
     while !shutdown.is_set() {
@@ -57,6 +61,7 @@
     }
 }
 
+/// Follows the owner until the connection ends, and adds the entries that it reports to `directory`.
 async fn follow<S: Store>(
     entry: &Arc<Entry<S>>,
     owner: std::net::SocketAddr,
@@ -82,7 +87,8 @@
     ended
 }
 
-/// Claims the ownership and works until it ends.
+/// Claims the ownership and acts as the owner until it loses or gives up the ownership.
+/// `lock_revision` is the revision of the lock that the claim replaces; 0 if there is no lock.
 async fn claim<S: Store>(
     entry: &Arc<Entry<S>>,
     lock_revision: Revision,
--- a/crates/hosted/src/follower.rs
+++ b/crates/hosted/src/follower.rs
@@ -1,4 +1,4 @@
-//! An entry's connection to the owner.
+//! Connection of an entry to the owner, over which the entry forwards requests.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -19,25 +19,29 @@
 use crate::directory;
 use crate::ports::Store;
 
+/// Interval between pings to the owner.
 const PING_INTERVAL: Duration = Duration::from_millis(800);
-/// Silence after which the owner is taken to be lost: two pongs missed.
+/// Time without a message after which the owner is taken as lost: two missed pongs.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Longest wait for an entry's word on who owns the work.
+/// Timeout of a request to an entry for the owner's address.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Asks the owner.
+/// Sends requests to the owner and matches the replies by query number.
 #[derive(Debug)]
 pub(crate) struct Follower {
     outbox: Outbox<EntryRequest>,
+    /// Receivers of the replies by query number.
     pending: Mutex<HashMap<u64, Sender<OwnerReply>>>,
     next_query: AtomicU64,
 }
 
-/// How a connection to a supposed owner ended.
+/// Reason for which a connection to a supposed owner ended.
 #[derive(Debug)]
 pub(crate) enum DisconnectReason {
+    /// The connection failed.
     Lost(WireError),
+    /// The peer is not the owner; contains the owner's address if the peer knows it.
     Redirected(Option<SocketAddr>),
     Shutdown,
 }
@@ -55,7 +59,7 @@
 }
 
 impl Follower {
-    /// Sends a question and waits for its answer.
+    /// Sends a request and waits for the reply. Returns `None` if none arrives within `timeout`.
     pub(crate) async fn ask(
         &self,
         timeout: Duration,
@@ -79,15 +83,17 @@
         answer
     }
 
+    /// Passes a reply to the caller that waits for it.
     fn resolve(&self, query: u64, answer: OwnerReply) {
         if let Some(sender) = self.pending.lock().remove(&query) {
-            // The asker may have given up.
+            // The caller may have timed out.
             let _ = sender.try_send(answer);
         }
     }
 }
 
-/// Asks an entry who owns the work. `None`: it does not answer, or knows nobody.
+/// Asks the entry at `peer` for the address of the owner. Returns `None` if the entry does not answer
+/// or knows no owner. `node` and `address` identify the caller.
 pub(crate) async fn query_owner(
     peer: SocketAddr,
     node: &str,
@@ -115,8 +121,8 @@
     }
 }
 
-/// Connects to `owner` and serves questions until the connection ends. `joined` gets the follower
-/// once the owner has answered, and the entries the owner knows.
+/// Connects to `owner` and keeps the connection until it ends. Each pong of the owner calls `on_pong`
+/// with the follower and the entries that are connected to the owner.
 pub(crate) async fn run<S: Store>(
     store: &S,
     owner: SocketAddr,
@@ -160,7 +166,7 @@
                             }
                             OwnerReply::Pong { entries, is_valid } => {
                                 on_pong(&follower, entries);
-                                // A vacant lock can be claimed by this entry.
+                                // If no process holds the lock, this entry may claim it.
                                 if !is_valid && directory::is_replaced(store, owner, true).await {
                                     return DisconnectReason::Redirected(None);
                                 }
--- a/crates/hosted/src/lib.rs
+++ b/crates/hosted/src/lib.rs
@@ -1,5 +1,16 @@
-//! The hosted roles: the entry that stores and answers for jobs and may own their scheduling, and
-//! the agent beside a worker. Both reach the platform through the traits in [`ports`].
+//! The two processes that schedule jobs on a platform that starts them, stores their data and runs
+//! the workers.
+//!
+//! - An *entry* stores submitted jobs and answers requests about them. The entries elect one of
+//!   them as the *owner*, which schedules all jobs. The other entries are *followers*: they keep a
+//!   connection to the owner and forward requests over it.
+//! - An *agent* runs beside one worker and carries out the owner's orders on it.
+//!
+//! The *lock* is the key in the store that names the owner. It is bound to a lease, so it is deleted
+//! when the owner stops renewing the lease. The *fence* is a second key, on which each write of the
+//! owner is conditional: a new owner overwrites it, and later writes of the former owner fail.
+//!
+//! Both processes reach the platform through the traits in [`ports`].
 
 pub mod agent;
 pub mod entry;
--- a/crates/hosted/src/owner_service.rs
+++ b/crates/hosted/src/owner_service.rs
@@ -1,4 +1,4 @@
-//! The owner with its connections.
+//! The owner's state machine with the connections of its agents and of other entries.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -15,24 +15,28 @@
 use crate::connection::Outbox;
 use crate::decisions;
 
-/// Time of day in milliseconds since 1970.
+/// Returns the wall-clock time in milliseconds since 1970.
 pub(crate) fn unix_ms() -> u64 {
-    // A time of day before 1970 makes nothing due.
+    // A clock before 1970 counts as 0, at which no job is due.
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |time| time.as_millis() as u64)
 }
 
-/// The owner and the outboxes of its agents. Lock order: `owner`, then `outboxes`.
+/// The owner's state machine and the outboxes of its agents. Lock order: `owner`, then `outboxes`.
 #[derive(Debug)]
 pub(crate) struct OwnerService {
     owner: Mutex<Owner>,
     outboxes: Mutex<HashMap<Session, Outbox<OwnerMessage>>>,
-    /// Entries that are connected, and all that ever were.
+    /// This entry and the entries that are connected to it.
     entries: Mutex<BTreeSet<SocketAddr>>,
+    /// Other entries that were connected at any time.
     all_entries: Mutex<BTreeSet<SocketAddr>>,
-    /// Wakes the committer.
+    /// Wakes the task that writes the owner's records to the store.
     commit_trigger: Sender<()>,
+    /// Receives a message when the owner has records to write.
     pub(crate) commit_requests: Receiver<()>,
+    /// Fires when the ownership ends.
     end: Trigger,
+    /// Set when the ownership ends; the connections then close.
     pub(crate) ended: Shutdown,
 }
 
@@ -52,7 +56,8 @@
         }
     }
 
-    /// Changes the owner, and does what follows from it.
+    /// Applies a change to the owner, sends the resulting messages, and wakes the task that writes
+    /// records.
     pub(crate) fn update<T>(&self, change: impl FnOnce(&mut Owner, Time) -> T) -> T {
         let now = runtime::now();
         let mut owner = self.owner.lock();
@@ -67,10 +72,10 @@
                 Effect::Log(decision) => decisions::log(&decision),
                 Effect::Send { session, message, .. } => {
                     let message = self.with_entries(message);
-                    let is_full = outboxes
+                    let is_rejected = outboxes
                         .get(&session)
                         .is_some_and(|outbox| outbox.try_send(message).is_err());
-                    if is_full {
+                    if is_rejected {
                         tracing::warn!(event = "agent_too_slow", session);
                         outboxes.remove(&session);
                     }
@@ -79,17 +84,18 @@
         }
         drop(outboxes);
         if is_changed {
-            // A full channel means that the committer will look anyway.
+            // If the channel is full, the writing task is already due to wake.
             let _ = self.commit_trigger.try_send(());
         }
         result
     }
 
-    /// Reads from the owner.
+    /// Reads the owner's state.
     pub(crate) fn read<T>(&self, read: impl FnOnce(&Owner, Time) -> T) -> T {
         read(&self.owner.lock(), runtime::now())
     }
 
+    /// Fills the connected entries into a pong.
     fn with_entries(&self, message: OwnerMessage) -> OwnerMessage {
         match message {
             OwnerMessage::Pong { sent, permission, weights, .. } => {
@@ -99,25 +105,28 @@
         }
     }
 
+    /// Returns this entry and the entries that are connected to it.
     pub(crate) fn entries(&self) -> Vec<SocketAddr> {
         self.entries.lock().iter().copied().collect()
     }
 
-    /// Entries that were ever connected, for the time after the ownership.
+    /// Returns the other entries that were connected at any time, to be asked for the owner later.
     pub(crate) fn known_entries(&self) -> Vec<SocketAddr> {
         self.all_entries.lock().iter().copied().collect()
     }
 
+    /// Adds an entry that has connected.
     pub(crate) fn add_entry(&self, address: SocketAddr) {
         self.entries.lock().insert(address);
         self.all_entries.lock().insert(address);
     }
 
+    /// Removes an entry whose connection has closed.
     pub(crate) fn remove_entry(&self, address: &SocketAddr) {
         self.entries.lock().remove(address);
     }
 
-    /// Opens the session of an agent.
+    /// Opens a session for the agent of `node` and sends its fencing token.
     pub(crate) fn open_session(&self, node: &str, outbox: Outbox<OwnerMessage>) -> (Slot, Session) {
         let (slot, session, token) = self.update(|owner, now| owner.connect(now, node));
         self.send_welcome(&outbox, token);
@@ -125,6 +134,7 @@
         (slot, session)
     }
 
+    /// Sends the message that opens a session.
     fn send_welcome(&self, outbox: &Outbox<OwnerMessage>, token: Token) {
         let welcome = OwnerMessage::Welcome { token, entries: self.entries() };
         if outbox.try_send(welcome).is_err() {
@@ -132,19 +142,19 @@
         }
     }
 
-    /// Ends the session of an agent.
+    /// Closes the session of an agent.
     pub(crate) fn close_session(&self, slot: Slot, session: Session) {
         self.outboxes.lock().remove(&session);
         self.update(|owner, _| owner.disconnect(slot, session));
     }
 
-    /// Ends the office: all connections close.
+    /// Ends the ownership on this entry: all connections close.
     pub(crate) fn shut_down(&self) {
         self.end.fire();
         self.outboxes.lock().clear();
     }
 
-    /// Pause until the owner has something to do without input.
+    /// Returns the time until the owner must be polled.
     pub(crate) fn poll_delay(&self) -> Duration {
         self.read(|owner, now| owner.next_poll(now))
     }
--- a/crates/hosted/src/ports.rs
+++ b/crates/hosted/src/ports.rs
@@ -1,4 +1,4 @@
-//! What the hosted roles need of a platform.
+//! Interfaces to the platform: its key-value store and the worker beside an agent.
 
 use std::fmt;
 use std::future::Future;
@@ -9,15 +9,17 @@
 use peridotfold_core::flow::node::{Call, Outcome};
 use peridotfold_core::flow::routes::Routes;
 
+/// Version of the store, which rises with each write.
 pub type Revision = u64;
+/// ID of a lease in the store.
 pub type LeaseId = u64;
 
-/// Why a call of the store brought no result.
+/// Failure of a call to the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreError {
-    /// Nothing was done and nothing will be.
+    /// The store did not carry out the call and will not carry it out later.
     Refused(String),
-    /// A write may be done, now or later.
+    /// A write may have been carried out, or may be carried out later.
     Unclear(String),
 }
 
@@ -32,7 +34,7 @@
 
 impl std::error::Error for StoreError {}
 
-/// A stored value.
+/// A key with its value and the revision of its last write.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Item {
     pub key: String,
@@ -40,54 +42,58 @@
     pub revision: Revision,
 }
 
-/// A change that a watch saw.
+/// A change to a watched key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Change {
     Written(Item),
+    /// The key that was removed.
     Removed(String),
 }
 
-/// Answer of a watch.
+/// Result of a watch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WatchResult {
-    Changes {
-        changes: Vec<Change>,
-        as_of: Revision,
-    },
-    /// The history since the given revision is no longer there.
+    /// Changes up to the revision `as_of`; empty if the watch timed out.
+    Changes { changes: Vec<Change>, as_of: Revision },
+    /// The store no longer has the history since the given revision.
     Compacted,
 }
 
-/// A conditional write of all or nothing.
+/// A transaction: if all conditions hold, all changes are applied, otherwise none.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Write {
-    /// Keys and the revisions they must have; 0: the key must not exist.
+    /// Conditions: keys with their required revisions; 0 if the key must not exist.
     pub expect: Vec<(String, Revision)>,
+    /// Keys to write with their values, and the lease with which a key ends, if any.
     pub puts: Vec<(String, Bytes, Option<LeaseId>)>,
+    /// Keys to remove.
     pub removes: Vec<String>,
 }
 
-/// Answer to a write.
+/// Result of a [`Write`] that the store answered.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WriteResult {
+    /// The write was applied at this revision.
     Done(Revision),
-    /// A condition did not hold; these of its keys exist.
+    /// A condition did not hold. Lists the current items of those keys in conditions that exist.
     Conflict(Vec<Item>),
+    /// A lease that the write names does not exist.
     NoLease,
 }
 
-/// The platform's store.
+/// The platform's key-value store.
 pub trait Store: Clone + Send + Sync + 'static {
-    /// Reads one key.
+    /// Reads one key; `None` if it does not exist.
     fn get(&self, key: &str) -> impl Future<Output = Result<Option<Item>, StoreError>> + Send;
 
-    /// Reads all keys with a prefix, and the revision before the first page.
+    /// Reads all keys with a prefix. Returns the revision from which a watch sees every change that
+    /// the read may have missed.
     fn range(
         &self,
         prefix: &str,
     ) -> impl Future<Output = Result<(Vec<Item>, Revision), StoreError>> + Send;
 
-    /// Waits for changes after a revision.
+    /// Waits up to `wait` for changes after a revision to keys with a prefix.
     fn watch(
         &self,
         prefix: &str,
@@ -95,38 +101,41 @@
         wait: Duration,
     ) -> impl Future<Output = Result<WatchResult, StoreError>> + Send;
 
-    /// Writes.
+    /// Applies a transaction.
     fn write(&self, write: &Write) -> impl Future<Output = Result<WriteResult, StoreError>> + Send;
 
-    /// Opens a lease.
+    /// Opens a lease. Returns its ID and the time to live that the store granted.
     fn open_lease(
         &self,
         ttl: Duration,
     ) -> impl Future<Output = Result<(LeaseId, Duration), StoreError>> + Send;
 
-    /// Renews a lease; `false`: it has ended.
+    /// Renews a lease. Returns `false` if it has ended.
     fn renew_lease(&self, lease: LeaseId) -> impl Future<Output = Result<bool, StoreError>> + Send;
 
-    /// Reads the routes of a stored configuration.
+    /// Decodes the routes of a stored configuration.
     ///
     /// # Errors
     ///
-    /// Names what cannot be read.
+    /// Fails if `value` is not a configuration; the text says why.
     fn routes(&self, value: &[u8]) -> Result<Routes, String>;
 
-    /// Key of the configuration.
+    /// Returns the key under which the configuration is stored.
     fn routes_key(&self) -> &'static str;
 }
 
-/// Outcome of a call to the worker.
+/// Answer to a call to the worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WorkerAnswer {
+    /// Runs and ends, by the worker's clock in milliseconds. `token` is the fencing token of the
+    /// call.
     Listed { token: Token, clock: u64, running: Vec<Running>, ends: Vec<End> },
+    /// Outcome of any other call, or of a listing that failed.
     Other(Outcome),
 }
 
 /// The worker beside an agent.
 pub trait Worker: Clone + Send + Sync + 'static {
-    /// Performs a call.
+    /// Sends a call to the worker and waits for the answer.
     fn call(&self, call: Call) -> impl Future<Output = WorkerAnswer> + Send;
 }
--- a/crates/hosted/src/records.rs
+++ b/crates/hosted/src/records.rs
@@ -1,4 +1,4 @@
-//! Keys and records in the store.
+//! Keys and values of the records in the store.
 
 use std::net::SocketAddr;
 
@@ -8,23 +8,23 @@
 
 use peridotfold_core::flow::model::JobNumber;
 
-/// Accepted jobs, cancels and the lock; the owner watches it.
+/// Prefix of accepted jobs, cancellations and the lock, which the owner watches.
 pub const INBOX_PREFIX: &str = "in/";
 const JOB_PREFIX: &str = "in/j/";
 const CANCEL_PREFIX: &str = "in/x/";
-/// Progress of jobs.
+/// Prefix of the progress records of jobs.
 pub const PROGRESS_PREFIX: &str = "st/";
-/// Who owns the work; lives as long as the owner's lease. It stands in the inbox, so that an owner whose
-/// lock was taken away sees its successor's claim before any job that is accepted later.
+/// Key that names the owner, bound to the owner's lease. It has the inbox prefix, so that an owner
+/// that lost its lock sees the lock of its successor before any job that is accepted later.
 pub const LOCK: &str = "in/owner";
-/// Number of the last write of an owner.
+/// Key of the fence, which counts the writes of the owner.
 pub const FENCE: &str = "own/fence";
-/// Nodes on which tasks may run.
+/// Key of the list of nodes whose agents may hold a permission to run tasks.
 pub const ROSTER: &str = "own/roster";
-/// What an owner has learned of the press of images.
+/// Key of the learned interference weights between images.
 pub const INTERFERENCE: &str = "own/press";
 
-/// What a key of the inbox stands for.
+/// A parsed key with the inbox prefix.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum InboxKey {
     Job(JobNumber),
@@ -32,22 +32,22 @@
     Lock,
 }
 
-/// Key of an accepted job.
+/// Returns the key of an accepted job.
 pub fn job_key(job: JobNumber) -> String {
     format!("{JOB_PREFIX}{job:016x}")
 }
 
-/// Key of a cancel.
+/// Returns the key of a job's cancellation.
 pub fn cancel_key(job: JobNumber) -> String {
     format!("{CANCEL_PREFIX}{job:016x}")
 }
 
-/// Key of a job's progress.
+/// Returns the key of a job's progress record.
 pub fn progress_key(job: JobNumber) -> String {
     format!("{PROGRESS_PREFIX}{job:016x}")
 }
 
-/// Reads a key of the inbox.
+/// Parses a key with the inbox prefix; `None` if it is malformed.
 pub fn inbox_key(key: &str) -> Option<InboxKey> {
     let number = |text: &str| JobNumber::from_str_radix(text, 16).ok();
     match (key.strip_prefix(JOB_PREFIX), key.strip_prefix(CANCEL_PREFIX)) {
@@ -58,25 +58,29 @@
     }
 }
 
-/// Reads the job of a progress key.
+/// Parses the key of a progress record; `None` if it is malformed.
 pub fn progress_job(key: &str) -> Option<JobNumber> {
     JobNumber::from_str_radix(key.strip_prefix(PROGRESS_PREFIX)?, 16).ok()
 }
 
-/// Value of the lock.
+/// Value of the lock: the process that owns the scheduling of jobs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lock {
     pub node: String,
-    /// Differs between processes on one machine.
+    /// Random number that tells processes on one node apart.
     pub boot: u64,
+    /// Address for agents and other entries.
     pub address: SocketAddr,
 }
 
-/// Value of the fence.
+/// Value of the fence: identifies the last write of an owner.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fence {
+    /// Rises with each claim of the ownership.
     pub epoch: u32,
+    /// Boot number of the owner, as in [`Lock`].
     pub boot: u64,
+    /// Number of writes since the claim.
     pub sequence: u64,
 }
 
@@ -84,7 +88,7 @@
 ///
 /// # Errors
 ///
-/// Fails when the value cannot be encoded.
+/// Fails if the value cannot be encoded.
 pub fn encode<T: Serialize>(value: &T) -> Result<Bytes, String> {
     bincode::serde::encode_to_vec(value, bincode::config::standard())
         .map(Bytes::from)
@@ -95,7 +99,7 @@
 ///
 /// # Errors
 ///
-/// Fails when the bytes are not a whole record of this type.
+/// Fails if the bytes are not one complete record of this type.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, String> {
     let (value, used) = bincode::serde::decode_from_slice(bytes, bincode::config::standard())
         .map_err(|error| error.to_string())?;
