--- a/crates/hosted/src/agent.rs
+++ b/crates/hosted/src/agent.rs
@@ -1,4 +1,5 @@
-//! The agent: a loop around [`Node`], with one connection to the owner.
+//! Agent process: runs the state machine [`AgentState`] for one worker, with one connection to the
+//! owner.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,28 +17,32 @@
 use crate::directory::{self, Directory};
 use crate::ports::{Store, Worker, WorkerAnswer};
 
-/// Silence after which the owner is taken to be lost: two pongs missed.
+/// Time without a message after which the owner is taken as lost: two missed pongs.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_300);
-/// Events that may wait for the loop.
+/// Capacity of the agent's event queue.
 const EVENT_CAPACITY: usize = 1_024;
 
-/// What the worker tells about itself.
+/// Message from the worker about itself.
 #[derive(Debug)]
 pub enum Heartbeat {
+    /// The worker's description. `sequence` rises with each report.
     Report { info: WorkerInfo, sequence: u64 },
+    /// The worker with this ID is exiting.
     Deregister { id: String },
 }
 
+/// Input of the agent's event loop.
 #[derive(Debug)]
 enum Event {
     Heartbeat(Heartbeat),
     Answer(Call, WorkerAnswer),
+    /// The owner has accepted a connection.
     Connected(Outbox<AgentMessage>),
     Disconnected,
     OwnerMessage(Vec<OwnerMessage>),
 }
 
-/// An agent that is about to run.
+/// Agent of one worker.
 #[derive(Debug)]
 pub struct Agent<S, W> {
     node: String,
@@ -47,12 +52,12 @@
     events: Receiver<Event>,
 }
 
-/// Passes on what the worker tells.
+/// Passes heartbeats of the worker to the agent.
 #[derive(Debug, Clone)]
 pub struct HeartbeatSender(Sender<Event>);
 
 impl HeartbeatSender {
-    /// Passes a report or sign-off on.
+    /// Sends a heartbeat to the agent. Waits while the event queue is full.
     pub async fn send(&self, heartbeat: Heartbeat) {
         if self.0.send(Event::Heartbeat(heartbeat)).await.is_err() {
             tracing::info!(event = "beat_dropped", reason = "stopping");
@@ -61,18 +66,18 @@
 }
 
 impl<S: Store, W: Worker> Agent<S, W> {
-    /// Builds an agent.
+    /// Creates an agent for the worker on `node`.
     pub fn new(node: String, store: S, worker: W) -> Self {
         let (sender, events) = async_channel::bounded(EVENT_CAPACITY);
         Agent { node, store, worker, sender, events }
     }
 
-    /// Where the worker's reports go.
+    /// Returns the sender for the worker's heartbeats.
     pub fn heartbeats(&self) -> HeartbeatSender {
         HeartbeatSender(self.sender.clone())
     }
 
-    /// Runs until the shutdown.
+    /// Runs the agent until the shutdown.
     pub async fn run(self, shutdown: Shutdown) {
         tracing::info!(event = "agent_started", node = self.node);
         let connecting = keep_connected(&self.node, &self.store, &self.sender);
@@ -82,6 +87,7 @@
     }
 }
 
+/// Passes events to the state machine and performs the resulting actions.
 async fn process_events<W: Worker>(worker: &W, sender: &Sender<Event>, events: &Receiver<Event>) {
     let mut state = AgentState::default();
     let mut outbox: Option<Outbox<AgentMessage>> = None;
@@ -112,7 +118,7 @@
         for action in state.take_actions() {
             match action {
                 Action::Log(decision) => decisions::log(&decision),
-                // Closes the connection, which the reader reports.
+                // Dropping the outbox closes the connection; `Event::Disconnected` follows.
                 Action::Reconnect => outbox = None,
                 Action::Send(message) => {
                     let is_lost = outbox.as_ref().is_some_and(|o| o.try_send(message).is_err());
@@ -136,6 +142,7 @@
     }
 }
 
+/// Passes the worker's answer to a call to the state machine.
 fn apply_answer(state: &mut AgentState, now: Duration, call: Call, answer: WorkerAnswer) {
     match (call, answer) {
         (Call::List { worker, .. }, WorkerAnswer::Listed { token, clock, running, ends }) => {
@@ -159,7 +166,7 @@
     }
 }
 
-/// Keeps a connection to the owner.
+/// Searches for the owner and keeps a connection to it.
 async fn keep_connected<S: Store>(node: &str, store: &S, sender: &Sender<Event>) {
     let mut directory = Directory::default();
     let mut redirect = None;
@@ -187,7 +194,8 @@
     }
 }
 
-/// Serves one connection; returns where it was told to go.
+/// Receives the owner's messages until the connection ends. Returns the address to try next, if the
+/// peer named one.
 async fn serve_connection<S: Store>(
     node: &str,
     owner: SocketAddr,
--- a/crates/hosted/src/connection.rs
+++ b/crates/hosted/src/connection.rs
@@ -54,7 +54,8 @@
     stream.clone().write_all(&bytes).await.map_err(|error| fail(error.to_string()))
 }
 
-/// Starts the writer task of a connection. The connection closes when the returned outbox is dropped.
+/// Starts the writer task of a connection. The connection closes when the returned outbox is
+/// dropped.
 pub(crate) fn start_writer<T: Serialize + Send + 'static>(
     stream: TcpStream,
     peer: String,
@@ -126,7 +127,8 @@
         }
     }
 
-    /// Returns all messages received so far, at least one. Fails if no bytes arrive within `timeout`.
+    /// Returns all messages received so far, at least one. Fails if no bytes arrive within
+    /// `timeout`.
     pub(crate) async fn receive<T: DeserializeOwned>(
         &mut self,
         timeout: Duration,
--- a/crates/hosted/src/election.rs
+++ b/crates/hosted/src/election.rs
@@ -13,9 +13,9 @@
 use crate::ownership::Ownership;
 use crate::ports::{Revision, Store};
 
-/// Delay before a claim by an entry with one core. The delay is inversely proportional to the cores,
-/// so that entries with more CPU claim first.
-const CLAIM_DELAY_PER_CORE_MS: f64 = 20.0;
+/// Delay before a claim by an entry with one core. The delay is inversely proportional to the
+/// cores, so that entries with more CPU claim first.
+const ONE_CORE_DELAY_MS: f64 = 20.0;
 /// Upper bound on the delay before a claim, without jitter.
 const MAX_CLAIM_DELAY: Duration = Duration::from_millis(500);
 /// Maximum random addition to the delay before a claim.
@@ -41,7 +41,7 @@
             }
             Ok(None) => {
                 let delay =
-                    Duration::from_millis((CLAIM_DELAY_PER_CORE_MS / entry.cores.max(0.01)) as u64);
+                    Duration::from_millis((ONE_CORE_DELAY_MS / entry.cores.max(0.01)) as u64);
                 let jitter = Duration::from_millis(fastrand::u64(0..CLAIM_JITTER_MS));
                 runtime::sleep_or_shutdown(delay.min(MAX_CLAIM_DELAY) + jitter, &shutdown).await;
                 claim(&entry, 0, &mut directory, &retiring).await;
@@ -61,7 +61,8 @@
     }
 }
 
-/// Follows the owner until the connection ends, and adds the entries that it reports to `directory`.
+/// Follows the owner until the connection ends, and adds the entries that it reports to
+/// `directory`.
 async fn follow<S: Store>(
     entry: &Arc<Entry<S>>,
     owner: std::net::SocketAddr,
--- a/crates/hosted/src/entry.rs
+++ b/crates/hosted/src/entry.rs
@@ -1,4 +1,5 @@
-//! The entry: stores accepted jobs and cancels, answers for all jobs, and may own the work.
+//! Entry process: stores submitted jobs and cancellations, answers requests about all jobs, and may
+//! be elected as the owner.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,20 +25,21 @@
 use crate::records;
 use crate::{election, sessions};
 
-/// Longest wait of one watch; with the time limit of the call it bounds how old the configuration
-/// of an entry with a silent connection becomes.
+/// Long-poll timeout of a watch. Together with the timeout of the call, it bounds the age of the
+/// configuration at an entry with a dead connection.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Delay before a failed call to the store is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(120);
-/// Time for the owner's answer before the store is asked.
+/// Timeout of a request to the owner, after which the state is read from the store.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time after a failed call in which new jobs are not sent to the store.
+/// Time after a failed call to the store during which this entry sends it no new jobs.
 const STORE_BACKOFF: Duration = Duration::from_millis(700);
-/// When a caller should come back after the store has refused a call for its rate.
+/// `Retry-After` for callers after the store refused a call because of its rate.
 const RETRY_AFTER_REFUSAL: Duration = Duration::from_secs(1);
-/// When a caller should come back while the store is away. Outages last several seconds.
+/// `Retry-After` for callers while the store does not answer. Outages last several seconds.
 const RETRY_AFTER_OUTAGE: Duration = Duration::from_secs(2);
 
-/// Longest that a caller waits for a write whose answers are lost: one try and its repetition.
+/// Maximum time that a caller waits for a write whose answers are lost: one attempt and one retry.
 const STORE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Settings of an entry.
@@ -46,29 +48,31 @@
     pub node: String,
     /// Address for agents and other entries.
     pub internal: SocketAddr,
-    /// Share of a core that the process has.
+    /// CPU share of the process, in cores.
     pub cores: f64,
     pub owner: OwnerSettings,
 }
 
-/// What this entry is to the owner.
+/// Role of this entry in the election.
 #[derive(Debug, Clone)]
 pub(crate) enum Role {
+    /// No connection to an owner.
     None,
     Owner(Arc<OwnerService>),
     Follower(Arc<Follower>),
 }
 
-/// Answer to a question about a job.
+/// Answer to a request for the phase of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StateAnswer {
     Known(Phase),
+    /// No such job is stored.
     Unknown,
     /// Neither the owner nor the store has answered.
     NoAnswer,
 }
 
-/// An entry.
+/// An entry process.
 #[derive(Debug)]
 pub struct Entry<S> {
     pub(crate) store: S,
@@ -76,13 +80,14 @@
     pub(crate) owner_settings: OwnerSettings,
     pub(crate) cores: f64,
     routes: RwLock<Option<Arc<Routes>>>,
+    /// Role of this entry, and the address of the owner if it is known.
     role: Mutex<(Role, Option<SocketAddr>)>,
-    /// Last failed call of the store, unless one has succeeded since.
+    /// When the last call to the store failed; `None` if a later call succeeded.
     store_failed_at: Mutex<Option<Time>>,
 }
 
 impl<S: Store> Entry<S> {
-    /// Builds an entry.
+    /// Creates an entry with a random boot number.
     pub fn new(settings: EntrySettings, store: S) -> Self {
         let identity =
             Identity { node: settings.node, boot: fastrand::u64(1..), address: settings.internal };
@@ -97,12 +102,12 @@
         }
     }
 
-    /// Serves agents and other entries, follows the configuration, and takes part in the election
-    /// of the owner until the shutdown. After `retiring` it no longer owns the work.
+    /// Serves agents and other entries, watches the configuration, and takes part in the election
+    /// of the owner until the shutdown. After `retiring` is set, this entry is no longer the owner.
     ///
     /// # Errors
     ///
-    /// Fails when the internal address cannot be bound.
+    /// Fails if the internal address cannot be bound.
     pub async fn run(self: Arc<Self>, retiring: Shutdown, shutdown: Shutdown) -> eyre::Result<()> {
         let listener = TcpListener::bind(self.identity.address).await?;
         tracing::info!(
@@ -130,6 +135,7 @@
         Ok(())
     }
 
+    /// Returns the role of this entry, and the address of the owner if it is known.
     pub(crate) fn role(&self) -> (Role, Option<SocketAddr>) {
         self.role.lock().clone()
     }
@@ -138,11 +144,12 @@
         *self.role.lock() = (role, owner);
     }
 
-    /// Routes in force; `None` before the first configuration was read.
+    /// Returns the current routes; `None` until a configuration has been read.
     pub fn routes(&self) -> Option<Arc<Routes>> {
         self.routes.read().clone()
     }
 
+    /// Watches the configuration and applies its changes.
     async fn follow_routes(&self) {
         let mut after: Option<Revision> = None;
         let key = self.store.routes_key();
@@ -182,7 +189,7 @@
         }
     }
 
-    /// Applies a configuration unless a later one is in force.
+    /// Applies a configuration unless its version is at most the current one.
     fn apply(&self, item: &Item) {
         match self.store.routes(&item.value) {
             Ok(routes) => {
@@ -200,6 +207,7 @@
         }
     }
 
+    /// Records whether the last call to the store succeeded.
     fn set_store_up(&self, is_up: bool) {
         let mut failed_at = self.store_failed_at.lock();
         match (is_up, *failed_at) {
@@ -216,11 +224,12 @@
         }
     }
 
+    /// Tells whether a call to the store failed so recently that new jobs are not sent to it.
     pub(crate) fn is_store_down(&self) -> bool {
         self.store_failed_at.lock().is_some_and(|at| runtime::now() < at + STORE_BACKOFF)
     }
 
-    /// Time after which a caller whose request was not accepted should come back.
+    /// Returns the time after which a caller should retry a request that was not accepted.
     pub fn retry_after(&self) -> Duration {
         match *self.store_failed_at.lock() {
             Some(_) => RETRY_AFTER_OUTAGE,
@@ -228,7 +237,8 @@
         }
     }
 
-    /// Stores a job.
+    /// Stores a job, through the owner if this entry cannot write to the store. Takes at most
+    /// `timeout`.
     pub async fn submit(&self, job: JobNumber, spec: &JobSpec, timeout: Duration) -> Stored {
         let record = match records::encode(spec) {
             Ok(record) => record,
@@ -245,7 +255,7 @@
             let storing = self.store_job(job, record.clone());
             outcome = with_timeout(remaining(), Stored::Unclear, storing).await;
         }
-        // The owner may reach the store when this entry does not.
+        // The owner may reach the store even if this entry does not.
         if let (Stored::No, (Role::Follower(follower), _)) = (outcome, self.role()) {
             let ask = |query| EntryRequest::Submit { query, job, record };
             outcome = match follower.ask(remaining(), ask).await {
@@ -260,7 +270,7 @@
         outcome
     }
 
-    /// Writes a job to the store, trying again while the outcome is unclear.
+    /// Writes a job to the store, with retries while the outcome is unclear.
     pub(crate) async fn store_job(&self, job: JobNumber, record: Bytes) -> Stored {
         let write = Write {
             expect: vec![(records::job_key(job), 0), (records::progress_key(job), 0)],
@@ -270,7 +280,7 @@
         self.write_until_known(&write).await
     }
 
-    /// Repeats a write whose repetition changes nothing until its outcome is known.
+    /// Retries an idempotent write until its outcome is known.
     async fn write_until_known(&self, write: &Write) -> Stored {
         let mut is_unclear = false;
         loop {
@@ -295,7 +305,8 @@
         }
     }
 
-    /// Stores the cancel of a job.
+    /// Stores the cancellation of a job, through the owner if this entry cannot write to the store.
+    /// Takes at most `timeout`.
     pub async fn cancel(&self, job: JobNumber, timeout: Duration) -> Stored {
         let started_at = runtime::now();
         let timeout = timeout.min(STORE_TIMEOUT);
@@ -318,7 +329,7 @@
         outcome
     }
 
-    /// Writes the cancel of a job that is known to the store.
+    /// Writes the cancellation of a job to the store, if the store has the job.
     pub(crate) async fn store_cancel(&self, job: JobNumber) -> Stored {
         let known = async {
             match self.store.get(&records::job_key(job)).await? {
@@ -328,7 +339,7 @@
         };
         match known.await {
             Ok(None) => Stored::Unknown,
-            // It has ended.
+            // The job has ended: nothing to cancel.
             Ok(Some(0)) => Stored::Yes,
             Ok(Some(revision)) => {
                 let write = Write {
@@ -347,7 +358,7 @@
         }
     }
 
-    /// Returns the phase of a job.
+    /// Returns the phase of a job, from the owner or else from the store.
     pub async fn state(&self, job: JobNumber) -> StateAnswer {
         let reported = match self.role().0 {
             Role::Owner(service) => {
@@ -368,7 +379,7 @@
         }
     }
 
-    /// Reads the phase of a job that the owner does not know or tell.
+    /// Reads the phase of a job from the store and logs the result.
     async fn stored_state(&self, job: JobNumber) -> StateAnswer {
         let id = format!("{job:016x}");
         match self.read_state(job).await {
@@ -383,9 +394,10 @@
         }
     }
 
+    /// Reads the phase of a job from the store.
     async fn read_state(&self, job: JobNumber) -> Result<StateAnswer, StoreError> {
-        // In this order: the end of a job removes its first key in the write that sets the second,
-        // so a job that is known is in one of them.
+        // The job key must be read before the progress key: one write removes the former and sets
+        // the latter when a job ends, so this order finds every stored job under one of them.
         let is_open = self.store.get(&records::job_key(job)).await?.is_some();
         let stored = self.store.get(&records::progress_key(job)).await?;
         let progress = stored.map(|item| records::decode::<Progress>(&item.value)).transpose();
@@ -397,7 +409,8 @@
         })
     }
 
-    /// Counts the jobs of a queue that have not begun; `None` when the owner does not answer.
+    /// Returns the number of jobs in a queue that have not started; `None` if the owner does not
+    /// answer.
     pub async fn waiting(&self, queue: &str) -> Option<u64> {
         match self.role().0 {
             Role::Owner(service) => Some(service.read(|owner, _| owner.waiting(queue))),
@@ -413,6 +426,7 @@
     }
 }
 
+/// Returns the items that were written, without removals.
 fn written_items(changes: Vec<Change>) -> Vec<Item> {
     let items = changes.into_iter().filter_map(|change| match change {
         Change::Written(item) => Some(item),
@@ -421,6 +435,7 @@
     items.collect()
 }
 
+/// Runs `work` for at most `timeout`; returns `on_timeout` if it takes longer.
 async fn with_timeout<T>(
     timeout: Duration,
     on_timeout: T,
--- a/crates/hosted/src/follower.rs
+++ b/crates/hosted/src/follower.rs
@@ -92,8 +92,8 @@
     }
 }
 
-/// Asks the entry at `peer` for the address of the owner. Returns `None` if the entry does not answer
-/// or knows no owner. `node` and `address` identify the caller.
+/// Asks the entry at `peer` for the address of the owner. Returns `None` if the entry does not
+/// answer or knows no owner. `node` and `address` identify the caller.
 pub(crate) async fn query_owner(
     peer: SocketAddr,
     node: &str,
@@ -121,8 +121,8 @@
     }
 }
 
-/// Connects to `owner` and keeps the connection until it ends. Each pong of the owner calls `on_pong`
-/// with the follower and the entries that are connected to the owner.
+/// Connects to `owner` and keeps the connection until it ends. Each pong of the owner calls
+/// `on_pong` with the follower and the entries that are connected to the owner.
 pub(crate) async fn run<S: Store>(
     store: &S,
     owner: SocketAddr,
--- a/crates/hosted/src/lib.rs
+++ b/crates/hosted/src/lib.rs
@@ -6,9 +6,10 @@
 //!   connection to the owner and forward requests over it.
 //! - An *agent* runs beside one worker and carries out the owner's orders on it.
 //!
-//! The *lock* is the key in the store that names the owner. It is bound to a lease, so it is deleted
-//! when the owner stops renewing the lease. The *fence* is a second key, on which each write of the
-//! owner is conditional: a new owner overwrites it, and later writes of the former owner fail.
+//! The *lock* is the key in the store that names the owner. It is bound to a lease, so it is
+//! deleted when the owner stops renewing the lease. The *fence* is a second key, on which each
+//! write of the owner is conditional: a new owner overwrites it, and later writes of the former
+//! owner fail.
 //!
 //! Both processes reach the platform through the traits in [`ports`].
 
--- a/crates/hosted/src/ownership.rs
+++ b/crates/hosted/src/ownership.rs
@@ -1,4 +1,5 @@
-//! Ownership: claiming it, keeping its lease, and making the owner's records durable.
+//! Ownership of the scheduling of jobs: the claim, the renewal of its lease, and durable writes of
+//! the owner's records.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,29 +20,35 @@
 };
 use crate::records::{self, Fence, InboxKey, Lock};
 
-/// Life of the owner's lock after its last renewal: the time without an owner after a loss of its
-/// machine, and the longest outage of the store in which starts go on.
+/// Time to live of the owner's lease. Bounds the time without an owner after its machine is lost,
+/// and the longest outage of the store during which the owner still starts tasks.
 const LOCK_TTL: Duration = Duration::from_secs(3);
-/// Part of it that the owner uses; the rest covers clock rates and delays.
+/// Percentage of [`LOCK_TTL`] for which the owner relies on the lease after a renewal; the rest
+/// covers differences of clock rates and delays.
 const VALIDITY_PERCENT: u32 = 90;
+/// Interval between renewals of the lease.
 const RENEW_INTERVAL: Duration = Duration::from_millis(700);
-/// Tries to give the lock up: at most one write is under way when the process is told to stop.
+/// Maximum number of attempts to delete the lock. At most one write is in progress when the process
+/// is told to stop.
 const MAX_RELEASE_ATTEMPTS: u32 = 3;
+/// Delay before a failed call to the store is retried; the first delay where it grows.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Longest pause between two tries of a write while the store is away.
+/// Maximum delay between two attempts of a write while the store does not answer.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(400);
-/// Longest wait of one watch; bounds the time for which a silent connection goes unnoticed.
+/// Long-poll timeout of a watch; bounds the time for which a dead connection goes unnoticed.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// This process, as the store knows it.
+/// Identity of this process in the lock.
 #[derive(Debug, Clone)]
 pub(crate) struct Identity {
     pub(crate) node: String,
+    /// Random number that tells processes on one node apart.
     pub(crate) boot: u64,
+    /// Address for agents and other entries.
     pub(crate) address: SocketAddr,
 }
 
-/// The last known write of the fence.
+/// The fence as of its last known write, and the lease of the lock.
 #[derive(Debug)]
 struct FenceState {
     fence: Fence,
@@ -49,22 +56,25 @@
     lease: LeaseId,
 }
 
-/// An ownership.
+/// The ownership held by this process.
 #[derive(Debug)]
 pub(crate) struct Ownership<S> {
     store: S,
     identity: Identity,
-    /// Held during each write under the fence, so that there is one at a time.
+    /// Locked during each write that changes the fence, so that at most one is in progress.
     state: Mutex<FenceState>,
+    /// When the validity of the first lease ends.
     valid_until: Time,
 }
 
+/// Returns the time until which the owner relies on a lease that was requested at `sent_at`.
 fn validity_end(sent_at: Time, ttl: Duration) -> Time {
     sent_at + ttl * VALIDITY_PERCENT / 100
 }
 
 impl FenceState {
-    /// Takes over the fence of a later write of this process, if `items` show one.
+    /// Adopts the stored fence if `items` contain one that this process wrote in the same epoch.
+    /// Tells whether they do.
     fn adopt(&mut self, items: &[Item]) -> bool {
         let stored = items.iter().find(|item| item.key == records::FENCE);
         let fence = stored.and_then(|item| records::decode::<Fence>(&item.value).ok());
@@ -81,13 +91,14 @@
     }
 }
 
+/// Encodes a record; a failure counts as a write that was not carried out.
 fn encode_record<T: serde::Serialize>(value: &T) -> Result<bytes::Bytes, StoreError> {
     records::encode(value).map_err(StoreError::Refused)
 }
 
 impl<S: Store> Ownership<S> {
-    /// Claims the ownership. `replaces`: revision of a lock of an earlier process of this node,
-    /// 0: there is no lock. Returns `None` when another entry was faster.
+    /// Claims the ownership. `lock_revision` is the revision of a lock that an earlier process of
+    /// this node left behind; 0 if there is no lock. Returns `None` if another entry claimed first.
     pub(crate) async fn claim(
         store: S,
         identity: Identity,
@@ -121,7 +132,8 @@
         }
     }
 
-    /// Reads everything that lasts, and returns the office and where its watch begins.
+    /// Restores the owner's state from the store. Returns the owner's service and the revision from
+    /// which the inbox must be watched.
     pub(crate) async fn start_service(
         &self,
         settings: OwnerSettings,
@@ -150,7 +162,7 @@
         owner.set_predecessor(now, roster);
         match interference.map(|item| records::decode::<Vec<InterferenceRow>>(&item.value)) {
             Some(Ok(rows)) => owner.inherit_interference(&rows),
-            // It is learned again.
+            // The weights are optional: the owner learns them again.
             Some(Err(error)) => tracing::warn!(event = "press_unreadable", %error),
             None => {}
         }
@@ -159,7 +171,8 @@
         Ok((service, as_of))
     }
 
-    /// Keeps the ownership until it is lost or the office is ended.
+    /// Renews the lease, writes records and watches the inbox until the ownership is lost or the
+    /// service is shut down.
     pub(crate) async fn run(&self, service: &OwnerService, as_of: Revision) {
         service.update(|owner, _| owner.set_valid_until(self.valid_until));
         let ended = async {
@@ -169,7 +182,8 @@
         future::or(ended, future::or(work, self.watch(service, as_of))).await;
     }
 
-    /// Gives the ownership up, after a last write of what is not durable yet.
+    /// Writes the records that are not durable yet, then gives up the ownership by deleting the
+    /// lock.
     pub(crate) async fn release(&self, service: &OwnerService) {
         while let Some(commit) = service.update(|owner, now| owner.take_commit(now)) {
             if !self.write(service, &commit).await {
@@ -192,7 +206,7 @@
                     tracing::info!(event = "ownership_released");
                     return;
                 }
-                // A write of this process was under way when it was told to stop.
+                // An interrupted write of this process was applied: retry with its fence.
                 Ok(WriteResult::Conflict(items)) if state.adopt(&items) => {}
                 other => {
                     tracing::warn!(event = "release_failed", outcome = ?other);
@@ -203,6 +217,7 @@
         tracing::warn!(event = "release_failed", reason = "other writes came first");
     }
 
+    /// Renews the lease until the ownership is lost.
     async fn renew(&self, service: &OwnerService) {
         loop {
             runtime::sleep(RENEW_INTERVAL).await;
@@ -231,8 +246,8 @@
         }
     }
 
-    /// Tells whether another entry owns the work, by the store or, where that turns this machine
-    /// away, by the other entries.
+    /// Tells whether another entry is the owner. Asks the other entries if the store does not
+    /// answer this one.
     async fn is_replaced(&self, service: &OwnerService) -> bool {
         match directory::read_lock(&self.store).await {
             Ok(Some((lock, _))) => return lock.boot != self.identity.boot,
@@ -249,8 +264,8 @@
         false
     }
 
-    /// Takes the lock again after its lease has ended, if nobody has owned the work since. Tells
-    /// whether this process may go on.
+    /// Claims the ownership again after the lease has ended, unless another entry has claimed it
+    /// since. Tells whether this process may continue.
     async fn reclaim(&self, service: &OwnerService) -> bool {
         let mut state = self.state.lock().await;
         let attempt = async {
@@ -287,7 +302,7 @@
                 false
             }
             Err(StoreError::Unclear(error)) => {
-                // The fence may have moved on: only a fresh takeover tells.
+                // The claim may have changed the stored fence, which only a new takeover reads.
                 tracing::warn!(event = "ownership_lost", reason = "unclear claim", error);
                 false
             }
@@ -298,6 +313,7 @@
         }
     }
 
+    /// Writes the owner's records whenever there are any, until the ownership is lost.
     async fn commit(&self, service: &OwnerService) {
         loop {
             let pause = service.poll_delay();
@@ -318,6 +334,8 @@
         }
     }
 
+    /// Returns a write that is conditional on the current fence and increments it, and the new
+    /// fence.
     fn fenced_write(&self, state: &FenceState) -> Result<(Write, Fence), StoreError> {
         let fence = Fence { sequence: state.fence.sequence + 1, ..state.fence };
         let mut write = Write::default();
@@ -326,7 +344,8 @@
         Ok((write, fence))
     }
 
-    /// Writes until the outcome is known. Tells whether this process still owns the work.
+    /// Writes records, with retries until the outcome is known. Tells whether this process is still
+    /// the owner.
     async fn write(&self, service: &OwnerService, commit: &Commit) -> bool {
         let mut state = self.state.lock().await;
         let (write, fence) = match self.fenced_write(&state).and_then(|(mut write, fence)| {
@@ -353,7 +372,7 @@
                     let stored_fence =
                         stored.and_then(|item| records::decode::<Fence>(&item.value).ok());
                     match stored {
-                        // An earlier try whose answer was lost.
+                        // An earlier attempt was applied, but its answer was lost.
                         Some(item) if stored_fence == Some(fence) => {
                             state.fence = fence;
                             state.revision = item.revision;
@@ -372,7 +391,7 @@
                 Ok(WriteResult::NoLease) => {
                     tracing::error!(
                         event = "write_refused",
-                        reason = "lease in a write without one"
+                        reason = "lease not found for a write without a lease"
                     );
                     return false;
                 }
@@ -390,7 +409,7 @@
         true
     }
 
-    /// Tells whether another process has claimed the ownership, by items of the inbox.
+    /// Tells whether inbox items contain the lock of another process.
     fn is_superseded(&self, items: &[Item]) -> bool {
         let lock = items.iter().rfind(|item| item.key == records::LOCK);
         match lock.map(|item| records::decode::<Lock>(&item.value)) {
@@ -406,6 +425,8 @@
         }
     }
 
+    /// Watches the inbox and passes jobs and cancellations to the owner, until another process
+    /// claims the ownership.
     async fn watch(&self, service: &OwnerService, as_of: Revision) {
         let mut after = as_of;
         loop {
@@ -451,6 +472,7 @@
     }
 }
 
+/// Returns the write that sets the lock and the fence, conditional on their revisions.
 fn claim_write(
     identity: &Identity,
     fence: Fence,
@@ -471,6 +493,7 @@
     })
 }
 
+/// Adds the records of a commit to a write.
 fn add_records(write: &mut Write, commit: &Commit) -> Result<(), StoreError> {
     for Record { job, progress, drops_cancel } in &commit.records {
         write.puts.push((records::progress_key(*job), encode_record(progress)?, None));
@@ -491,7 +514,7 @@
     Ok(())
 }
 
-/// Applies an item of the inbox.
+/// Passes a job or cancellation from the inbox to the owner.
 fn apply_inbox_item(owner: &mut Owner, now: Time, item: &Item) {
     match records::inbox_key(&item.key) {
         Some(InboxKey::Job(job)) => match records::decode(&item.value) {
@@ -504,7 +527,7 @@
     }
 }
 
-/// Restores the jobs of a predecessor.
+/// Restores the jobs of the previous owner from the inbox and the progress records.
 fn restore_jobs(owner: &mut Owner, now: Time, inbox: &[Item], progress: &[Item]) {
     let mut records = std::collections::BTreeMap::new();
     for item in progress {
--- a/crates/hosted/src/sessions.rs
+++ b/crates/hosted/src/sessions.rs
@@ -1,4 +1,4 @@
-//! Serves the connections of agents and other entries to the owner.
+//! Server side of the connections of agents and other entries to the owner.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,11 +16,13 @@
 use crate::owner_service::OwnerService;
 use crate::ports::Store;
 
-/// Silence after which a peer is taken to be lost; peers ask for permission each second.
+/// Time without a message after which a peer is taken as lost. Peers send a ping at least every
+/// second.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(3_500);
+/// Timeout of the first message on a connection.
 const GREETING_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Serves one connection.
+/// Serves one connection. Redirects the client if this entry is not the owner.
 pub(crate) async fn serve<S: Store>(stream: TcpStream, peer: SocketAddr, entry: Arc<Entry<S>>) {
     if let Err(error) = stream.set_nodelay(true) {
         tracing::warn!(event = "nodelay_not_set", %peer, %error);
@@ -56,12 +58,14 @@
     }
 }
 
+/// Queues a message; logs it as dropped if the connection is closed or its queue is full.
 fn send<T>(outbox: &Outbox<T>, message: T, peer: &str) {
     if outbox.try_send(message).is_err() {
         tracing::info!(event = "answer_dropped", peer);
     }
 }
 
+/// Passes the messages of an agent to the owner until the connection or the ownership ends.
 async fn serve_agent(
     stream: TcpStream,
     mut reader: MessageReader,
@@ -94,6 +98,7 @@
     service.close_session(slot, session);
 }
 
+/// Answers the requests of another entry until the connection or the ownership ends.
 async fn serve_entry<S: Store>(
     stream: TcpStream,
     mut reader: MessageReader,
@@ -123,6 +128,7 @@
     }
 }
 
+/// Answers one request of another entry.
 fn answer_request<S: Store>(
     request: EntryRequest,
     service: &Arc<OwnerService>,
@@ -131,7 +137,7 @@
     peer: &str,
 ) {
     match request {
-        // Without a valid lease another owner may know better.
+        // Without a valid lease, another owner may have newer state.
         EntryRequest::State { .. } | EntryRequest::Waiting { .. }
             if !service.read(|owner, now| owner.is_valid(now)) => {}
         EntryRequest::Ping => {
--- a/crates/hosted/tests/suite/entry.rs
+++ b/crates/hosted/tests/suite/entry.rs
@@ -1,4 +1,4 @@
-//! What an entry answers, against a store that changes and fails at chosen moments.
+//! Answers of an entry while its store changes or fails at chosen points.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,6 +19,7 @@
     Entry::new(settings("front", internal), store.clone())
 }
 
+/// Returns the write with which the owner ends the job.
 fn end() -> Write {
     let progress = Progress { phase: Phase::Completed, ..Progress::default() };
     Write {
@@ -28,8 +29,8 @@
     }
 }
 
-/// Guards against a job that is called unknown because it ended between the two reads of its keys:
-/// seen on scale-2 of the auction.
+/// Guards against an answer "unknown" for a job that ends between the reads of its two keys. Seen
+/// on scale-2 of the auction.
 #[test]
 fn a_job_that_ends_between_two_reads_is_known() {
     for reads in 0..3 {
@@ -44,7 +45,7 @@
     }
 }
 
-/// Guards against a second job for one id, however often and late it is sent.
+/// Guards against a second execution of a job whose submission is repeated, also after its end.
 #[test]
 fn a_repeated_submission_stays_one_job() {
     let store = MemoryStore::default();
@@ -59,7 +60,8 @@
     });
 }
 
-/// Guards against "not accepted" for a job that is stored, or may be stored later.
+/// Guards against an answer "not stored" when the answer of the store is lost: the job may be
+/// stored.
 #[test]
 fn a_write_whose_answer_is_lost_is_never_called_refused() {
     for is_applied in [false, true] {
@@ -79,7 +81,7 @@
     }
 }
 
-/// Guards against jobs that wait for a store that is known to be away.
+/// Guards against submissions that wait for a store that has just refused a call.
 #[test]
 fn a_store_that_refuses_is_not_asked_again_at_once() {
     let store = MemoryStore::default();
@@ -94,7 +96,8 @@
     });
 }
 
-/// Guards against a cancel that is acknowledged before it lasts, or of a job nobody knows.
+/// Guards against a cancellation that is acknowledged before it is durable, or although the job
+/// does not exist.
 #[test]
 fn a_cancel_lasts_before_it_is_acknowledged() {
     let store = MemoryStore::default();
--- a/crates/hosted/tests/suite/main.rs
+++ b/crates/hosted/tests/suite/main.rs
@@ -1,4 +1,4 @@
-//! The hosted roles against stand-ins in memory.
+//! Tests of the entry against an in-memory store.
 
 mod entry;
 mod ownership;
--- a/crates/hosted/tests/suite/ownership.rs
+++ b/crates/hosted/tests/suite/ownership.rs
@@ -1,4 +1,4 @@
-//! Who owns the work, between entries on loopback connections.
+//! Election and loss of the owner, between entries on loopback connections.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Once};
@@ -12,13 +12,15 @@
 
 use crate::support::{settings, spec, MemoryStore};
 
-/// Longest time to a new owner once the lock is vacant: a lost pong, a search and a claim.
+/// Maximum time to a new owner after the lock is deleted: a lost pong, a search and a claim.
 const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(6);
 
+/// Starts an entry; it stops when the trigger is dropped or fires.
 fn start(node: &str, store: &MemoryStore) -> Trigger {
     start_entry(node, store).1
 }
 
+/// Starts an entry and returns it with its stop trigger.
 fn start_entry(node: &str, store: &MemoryStore) -> (Arc<Entry<MemoryStore>>, Trigger) {
     static POOL: Once = Once::new();
     POOL.call_once(|| runtime::start_threads(2));
@@ -30,7 +32,7 @@
     (entry, stop)
 }
 
-/// Waits until the lock names this node.
+/// Waits until the lock names `node`; returns `false` on timeout.
 async fn wait_for_owner(store: &MemoryStore, node: &str) -> bool {
     let started_at = Instant::now();
     while started_at.elapsed() < TAKEOVER_TIMEOUT {
@@ -44,8 +46,9 @@
     false
 }
 
-/// Guards against work that nobody owns: the store turns the owner away, its lock lapses, and the
-/// other entries stay with it because it still answers them. Seen on trouble-1 of the guide.
+/// Guards against a cluster without an owner: the store refuses the owner's calls, its lock
+/// expires, and the other entries do not claim it because the former owner still answers them. Seen
+/// on trouble-1 of the guide.
 #[test]
 fn an_owner_that_the_store_turns_away_is_replaced() {
     smol::block_on(async {
@@ -54,7 +57,7 @@
         assert!(wait_for_owner(&store, "first").await);
         let second_store = store.second_handle();
         let second = start("second", &second_store);
-        // Until the second follows the first.
+        // Time for the second entry to connect to the first.
         runtime::sleep(Duration::from_millis(500)).await;
         store.refuse(true);
         runtime::sleep(Duration::from_secs(3)).await;
@@ -64,8 +67,9 @@
     });
 }
 
-/// Guards against a lock that stays behind for three seconds when its owner is stopped while a write
-/// is under way. Seen on trouble-1 of the grown guide, in a roll of all entries.
+/// Guards against a lock that remains for three seconds, the time to live of its lease, after its
+/// owner was stopped during a write. Seen on trouble-1 of the grown guide, in a rolling restart of
+/// all entries.
 #[test]
 fn an_owner_that_is_stopped_during_a_write_gives_its_lock_up() {
     smol::block_on(async {
@@ -87,9 +91,9 @@
     });
 }
 
-/// Guards against two owners that both start a new job: the store takes the lock of an owner away
-/// before its time, another entry claims it, and the first goes on by its own clock. Seen on seed
-/// 1012 of the soak: four tasks ran twice.
+/// Guards against two owners that both start a new job: the store deletes the lock of an owner
+/// before its lease ends, another entry claims it, and the first owner relies on the lease by its
+/// own clock. Seen with seed 1012 of the soak test: four tasks ran twice.
 #[test]
 fn an_owner_whose_lock_another_entry_holds_ends_before_it_sees_later_jobs() {
     smol::block_on(async {
@@ -112,8 +116,8 @@
     });
 }
 
-/// Guards against callers who are refused at an entry that owned the work until the store turned it
-/// away, though the new owner would store their jobs. Seen on incident inc-3e4e: 34 in 6 s.
+/// Guards against a former owner that refuses submissions because the store refuses its calls,
+/// although the new owner could store the jobs. Seen in incident inc-3e4e: 34 refusals in 6 s.
 #[test]
 fn a_former_owner_that_the_store_turns_away_stores_jobs_through_the_new_one() {
     smol::block_on(async {
--- a/crates/hosted/tests/suite/support.rs
+++ b/crates/hosted/tests/suite/support.rs
@@ -1,4 +1,5 @@
-//! A store in memory whose answers can be lost, refused, or crossed by another write.
+//! In-memory store that can lose answers, refuse calls, and apply a write of another process
+//! between two reads.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,14 +18,19 @@
 };
 use peridotfold_wire::runtime;
 
+/// Contents of the store and the faults to inject.
 #[derive(Debug, Default)]
 struct Table {
     items: BTreeMap<String, Item>,
     revision: Revision,
     writes: u32,
+    /// Number of next writes whose answers are lost.
     lost_answers: u32,
+    /// Whether writes with lost answers are applied.
     lost_applied: bool,
+    /// A write to apply after a number of reads.
     delayed_write: Option<(u32, Write)>,
+    /// Delay of the answers of writes.
     delay: Duration,
 }
 
@@ -49,53 +55,55 @@
     }
 }
 
-/// A handle of one process; clones share the table and the refusal.
+/// Handle of the store for one process. Clones share the table and whether calls are refused.
 #[derive(Debug, Clone, Default)]
 pub struct MemoryStore(Arc<Mutex<Table>>, Arc<AtomicBool>);
 
 impl MemoryStore {
-    /// Performs a write after so many reads.
+    /// Applies a write after the given number of reads.
     pub fn write_after_reads(&self, reads: u32, write: Write) {
         self.0.lock().delayed_write = Some((reads, write));
     }
 
-    /// Loses the answers of the next writes, which are carried out or not.
+    /// Loses the answers of the next `count` writes; `is_applied` tells whether they are applied.
     pub fn lose_answers(&self, count: u32, is_applied: bool) {
         let mut table = self.0.lock();
         table.lost_answers = count;
         table.lost_applied = is_applied;
     }
 
-    /// Delays the answers of writes, which are carried out at once.
+    /// Delays the answers of writes, which are applied at once.
     pub fn delay_answers(&self, delay: Duration) {
         self.0.lock().delay = delay;
     }
 
-    /// Another process's handle of the same table.
+    /// Returns a handle of the same table for another process.
     pub fn second_handle(&self) -> Self {
         MemoryStore(self.0.clone(), Arc::default())
     }
 
-    /// Refuses all calls of this handle.
+    /// Sets whether all calls through this handle are refused.
     pub fn refuse(&self, refuses: bool) {
         self.1.store(refuses, Ordering::Relaxed);
     }
 
-    /// Writes a key, as another process does.
+    /// Writes a key without conditions, as another process would.
     pub fn put(&self, key: &str, value: Bytes) {
         let puts = vec![(key.to_owned(), value, None)];
         self.0.lock().apply(&Write { puts, ..Write::default() });
     }
 
-    /// Removes a key, as the end of its lease does.
+    /// Removes a key, as the end of its lease would.
     pub fn expire(&self, key: &str) {
         self.0.lock().items.remove(key);
     }
 
+    /// Returns the value of a key, even while calls are refused.
     pub fn peek(&self, key: &str) -> Option<Bytes> {
         self.0.lock().items.get(key).map(|item| item.value.clone())
     }
 
+    /// Fails if calls through this handle are refused.
     fn check(&self) -> Result<(), StoreError> {
         match self.1.load(Ordering::Relaxed) {
             true => Err(StoreError::Refused("away".to_owned())),
@@ -103,6 +111,7 @@
         }
     }
 
+    /// Returns the number of writes so far, including refused ones.
     pub fn writes(&self) -> u32 {
         self.0.lock().writes
     }
@@ -174,7 +183,7 @@
     }
 }
 
-/// Settings of an entry.
+/// Returns the settings of an entry.
 pub fn settings(node: &str, internal: SocketAddr) -> EntrySettings {
     EntrySettings {
         node: node.to_owned(),
@@ -189,7 +198,7 @@
     }
 }
 
-/// A job of one task.
+/// Returns a job with one task.
 pub fn spec() -> JobSpec {
     let queue = Queue {
         name: "q".to_owned(),
