--- a/crates/hosted/src/agent.rs
+++ b/crates/hosted/src/agent.rs
@@ -35,9 +35,11 @@
 #[derive(Debug)]
 enum Event {
     Heartbeat(Heartbeat),
+    /// The worker's answer to a call.
     Answer(Call, WorkerAnswer),
     /// The owner has accepted a connection.
     Connected(Outbox<AgentMessage>),
+    /// The connection to the owner has ended, or could not be opened.
     Disconnected,
     OwnerMessage(Vec<OwnerMessage>),
 }
@@ -92,9 +94,9 @@
     let mut state = AgentState::default();
     let mut outbox: Option<Outbox<AgentMessage>> = None;
     loop {
-        let pause = state.next_poll(runtime::now());
+        let delay = state.next_poll(runtime::now());
         let event = future::or(async { events.recv().await.ok() }, async {
-            runtime::sleep(pause).await;
+            runtime::sleep(delay).await;
             None
         })
         .await;
--- a/crates/hosted/src/election.rs
+++ b/crates/hosted/src/election.rs
@@ -21,7 +21,8 @@
 /// Maximum random addition to the delay before a claim.
 const CLAIM_JITTER_MS: u64 = 40;
 
-/// Follows or owns until the shutdown. After `retiring` is set, the entry claims no ownership.
+/// Runs the election on one entry until the shutdown. After `retiring` is set, the entry gives up
+/// the ownership and does not claim it again.
 pub(crate) async fn run<S: Store>(entry: Arc<Entry<S>>, retiring: Shutdown, shutdown: Shutdown) {
     let mut directory = Directory::default();
     while !shutdown.is_set() {
@@ -35,8 +36,8 @@
                 }
             }
             Ok(Some((lock, _))) => {
-                let ended = follow(&entry, lock.address, &mut directory, &shutdown).await;
-                tracing::info!(event = "owner_lost", owner = lock.node, reason = %ended);
+                let reason = follow(&entry, lock.address, &mut directory, &shutdown).await;
+                tracing::info!(event = "owner_lost", owner = lock.node, reason = %reason);
                 runtime::sleep_or_shutdown(directory::search_delay(), &shutdown).await;
             }
             Ok(None) => {
@@ -50,8 +51,8 @@
                 tracing::warn!(event = "lock_not_read", %error);
                 let next = directory.next_entry();
                 if let Some(address) = next.filter(|address| *address != entry.identity.address) {
-                    let ended = follow(&entry, address, &mut directory, &shutdown).await;
-                    if let DisconnectReason::Redirected(Some(owner)) = ended {
+                    let reason = follow(&entry, address, &mut directory, &shutdown).await;
+                    if let DisconnectReason::Redirected(Some(owner)) = reason {
                         follow(&entry, owner, &mut directory, &shutdown).await;
                     }
                 }
@@ -71,7 +72,7 @@
 ) -> DisconnectReason {
     let known_entries = parking_lot::Mutex::new(Vec::new());
     let identity = &entry.identity;
-    let ended = follower::run(
+    let reason = follower::run(
         &entry.store,
         owner,
         &identity.node,
@@ -85,7 +86,7 @@
     .await;
     entry.set_role(Role::None, None);
     directory.add(known_entries.into_inner());
-    ended
+    reason
 }
 
 /// Claims the ownership and acts as the owner until it loses or gives up the ownership.
@@ -111,7 +112,7 @@
         }
     };
     let (service, as_of) = match ownership.start_service(entry.owner_settings.clone()).await {
-        Ok(opened) => opened,
+        Ok(started) => started,
         Err(error) => {
             tracing::warn!(event = "takeover_failed", %error);
             return;
--- a/crates/hosted/src/entry.rs
+++ b/crates/hosted/src/entry.rs
@@ -58,7 +58,9 @@
 pub(crate) enum Role {
     /// No connection to an owner.
     None,
+    /// This entry is the owner.
     Owner(Arc<OwnerService>),
+    /// This entry is connected to the owner.
     Follower(Arc<Follower>),
 }
 
@@ -257,8 +259,8 @@
         }
         // The owner may reach the store even if this entry does not.
         if let (Stored::No, (Role::Follower(follower), _)) = (outcome, self.role()) {
-            let ask = |query| EntryRequest::Submit { query, job, record };
-            outcome = match follower.ask(remaining(), ask).await {
+            let request = |query| EntryRequest::Submit { query, job, record };
+            outcome = match follower.request(remaining(), request).await {
                 Some(OwnerReply::Stored { outcome, .. }) => outcome,
                 _ => Stored::Unclear,
             };
@@ -317,7 +319,7 @@
         }
         if let (Stored::No, (Role::Follower(follower), _)) = (outcome, self.role()) {
             outcome = match follower
-                .ask(remaining(), |query| EntryRequest::Cancel { query, job })
+                .request(remaining(), |query| EntryRequest::Cancel { query, job })
                 .await
             {
                 Some(OwnerReply::Stored { outcome, .. }) => outcome,
@@ -365,7 +367,9 @@
                 service.read(|owner, now| owner.is_valid(now).then(|| owner.phase(job)).flatten())
             }
             Role::Follower(follower) => {
-                match follower.ask(QUERY_TIMEOUT, |query| EntryRequest::State { query, job }).await
+                match follower
+                    .request(QUERY_TIMEOUT, |query| EntryRequest::State { query, job })
+                    .await
                 {
                     Some(OwnerReply::State { state, .. }) => state,
                     _ => None,
@@ -415,8 +419,8 @@
         match self.role().0 {
             Role::Owner(service) => Some(service.read(|owner, _| owner.waiting(queue))),
             Role::Follower(follower) => {
-                let ask = |query| EntryRequest::Waiting { query, queue: queue.to_owned() };
-                match follower.ask(QUERY_TIMEOUT, ask).await {
+                let request = |query| EntryRequest::Waiting { query, queue: queue.to_owned() };
+                match follower.request(QUERY_TIMEOUT, request).await {
                     Some(OwnerReply::Waiting { count, .. }) => count,
                     _ => None,
                 }
--- a/crates/hosted/src/follower.rs
+++ b/crates/hosted/src/follower.rs
@@ -33,6 +33,7 @@
     outbox: Outbox<EntryRequest>,
     /// Receivers of the replies by query number.
     pending: Mutex<HashMap<u64, Sender<OwnerReply>>>,
+    /// Number of the next request.
     next_query: AtomicU64,
 }
 
@@ -43,6 +44,7 @@
     Lost(WireError),
     /// The peer is not the owner; contains the owner's address if the peer knows it.
     Redirected(Option<SocketAddr>),
+    /// This process is shutting down.
     Shutdown,
 }
 
@@ -51,7 +53,7 @@
         match self {
             DisconnectReason::Lost(error) => error.fmt(f),
             DisconnectReason::Redirected(owner) => {
-                write!(f, "it is not the owner; owner={owner:?}")
+                write!(f, "the peer is not the owner; owner={owner:?}")
             }
             DisconnectReason::Shutdown => f.write_str("shutdown"),
         }
@@ -60,15 +62,15 @@
 
 impl Follower {
     /// Sends a request and waits for the reply. Returns `None` if none arrives within `timeout`.
-    pub(crate) async fn ask(
+    pub(crate) async fn request(
         &self,
         timeout: Duration,
-        ask: impl FnOnce(u64) -> EntryRequest,
+        request: impl FnOnce(u64) -> EntryRequest,
     ) -> Option<OwnerReply> {
         let query = self.next_query.fetch_add(1, Ordering::Relaxed);
         let (sender, receiver) = async_channel::bounded(1);
         self.pending.lock().insert(query, sender);
-        let sent = self.outbox.try_send(ask(query));
+        let sent = self.outbox.try_send(request(query));
         let answer = match sent {
             Err(_) => None,
             Ok(()) => {
--- a/crates/hosted/src/ownership.rs
+++ b/crates/hosted/src/ownership.rs
@@ -23,8 +23,8 @@
 /// Time to live of the owner's lease. Bounds the time without an owner after its machine is lost,
 /// and the longest outage of the store during which the owner still starts tasks.
 const LOCK_TTL: Duration = Duration::from_secs(3);
-/// Percentage of [`LOCK_TTL`] for which the owner relies on the lease after a renewal; the rest
-/// covers differences of clock rates and delays.
+/// Percentage of the lease's time to live for which the owner relies on the lease after a renewal;
+/// the rest covers differences of clock rates and delays.
 const VALIDITY_PERCENT: u32 = 90;
 /// Interval between renewals of the lease.
 const RENEW_INTERVAL: Duration = Duration::from_millis(700);
@@ -316,14 +316,14 @@
     /// Writes the owner's records whenever there are any, until the ownership is lost.
     async fn commit(&self, service: &OwnerService) {
         loop {
-            let pause = service.poll_delay();
+            let delay = service.poll_delay();
             future::or(
                 async {
                     if service.commit_requests.recv().await.is_err() {
                         future::pending::<()>().await;
                     }
                 },
-                runtime::sleep(pause),
+                runtime::sleep(delay),
             )
             .await;
             let commit = service.update(|owner, now| owner.take_commit(now));
--- a/crates/hosted/src/records.rs
+++ b/crates/hosted/src/records.rs
@@ -10,7 +10,9 @@
 
 /// Prefix of accepted jobs, cancellations and the lock, which the owner watches.
 pub const INBOX_PREFIX: &str = "in/";
+/// Prefix of the keys of accepted jobs.
 const JOB_PREFIX: &str = "in/j/";
+/// Prefix of the keys of cancellations.
 const CANCEL_PREFIX: &str = "in/x/";
 /// Prefix of the progress records of jobs.
 pub const PROGRESS_PREFIX: &str = "st/";
