--- a/crates/hosted/src/agent.rs
+++ b/crates/hosted/src/agent.rs
@@ -213,10 +213,12 @@
     let mut outbox = Some(outbox);
     loop {
         let messages: Vec<OwnerMessage> = reader.receive(SILENCE_TIMEOUT).await?;
-        let mut has_lapsed = false;
+        let mut is_lease_invalid = false;
         for message in &messages {
             match message {
-                OwnerMessage::Pong { permission, .. } if permission.is_zero() => has_lapsed = true,
+                OwnerMessage::Pong { permission, .. } if permission.is_zero() => {
+                    is_lease_invalid = true
+                }
                 OwnerMessage::Redirect { owner } => return Ok(*owner),
                 OwnerMessage::Welcome { entries, .. } | OwnerMessage::Pong { entries, .. } => {
                     directory.add(entries.iter().copied());
@@ -233,7 +235,7 @@
         if sender.send(Event::OwnerMessage(messages)).await.is_err() {
             return Ok(None);
         }
-        if has_lapsed && directory::is_replaced(store, owner, false).await {
+        if is_lease_invalid && directory::is_replaced(store, owner, false).await {
             return Ok(None);
         }
     }
--- a/crates/hosted/tests/suite/entry.rs
+++ b/crates/hosted/tests/suite/entry.rs
@@ -29,8 +29,8 @@
     }
 }
 
-/// Guards against an answer "unknown" for a job that ends between the reads of its two keys. Seen
-/// on scale-2 of the auction.
+/// Guards against an answer "unknown" for a job that ends between the reads of its two keys. This
+/// occurred in the scale-2 scenario of the auction workload.
 #[test]
 fn a_job_that_ends_between_two_reads_is_known() {
     for reads in 0..3 {
@@ -55,7 +55,10 @@
         assert_eq!(entry.submit(JOB, &spec(), LIMIT).await, Stored::Yes);
         store.write(&end()).await.unwrap();
         assert_eq!(entry.submit(JOB, &spec(), LIMIT).await, Stored::Yes);
-        assert!(store.get(&records::job_key(JOB)).await.unwrap().is_none(), "it would run again");
+        assert!(
+            store.get(&records::job_key(JOB)).await.unwrap().is_none(),
+            "the job would run again"
+        );
         assert_eq!(entry.state(JOB).await, StateAnswer::Known(Phase::Completed));
     });
 }
--- a/crates/hosted/tests/suite/ownership.rs
+++ b/crates/hosted/tests/suite/ownership.rs
@@ -47,8 +47,8 @@
 }
 
 /// Guards against a cluster without an owner: the store refuses the owner's calls, its lock
-/// expires, and the other entries do not claim it because the former owner still answers them. Seen
-/// on trouble-1 of the guide.
+/// expires, and the other entries do not claim it because the former owner still answers them. This
+/// occurred in the trouble-1 scenario of the guide workload.
 #[test]
 fn an_owner_that_the_store_turns_away_is_replaced() {
     smol::block_on(async {
@@ -68,8 +68,8 @@
 }
 
 /// Guards against a lock that remains for three seconds, the time to live of its lease, after its
-/// owner was stopped during a write. Seen on trouble-1 of the grown guide, in a rolling restart of
-/// all entries.
+/// owner was stopped during a write. This occurred in the trouble-1 scenario of the enlarged guide
+/// workload, in a rolling restart of all entries.
 #[test]
 fn an_owner_that_is_stopped_during_a_write_gives_its_lock_up() {
     smol::block_on(async {
@@ -93,7 +93,7 @@
 
 /// Guards against two owners that both start a new job: the store deletes the lock of an owner
 /// before its lease ends, another entry claims it, and the first owner relies on the lease by its
-/// own clock. Seen with seed 1012 of the soak test: four tasks ran twice.
+/// own clock. This occurred with seed 1012 of the soak test: four tasks ran twice.
 #[test]
 fn an_owner_whose_lock_another_entry_holds_ends_before_it_sees_later_jobs() {
     smol::block_on(async {
@@ -111,13 +111,14 @@
         while first.waiting("q").await.is_some() && started_at.elapsed() < TAKEOVER_TIMEOUT {
             runtime::sleep(Duration::from_millis(20)).await;
         }
-        assert_eq!(first.waiting("q").await, None, "it still owns the work");
+        assert_eq!(first.waiting("q").await, None, "the first entry is still the owner");
         drop(stop);
     });
 }
 
 /// Guards against a former owner that refuses submissions because the store refuses its calls,
-/// although the new owner could store the jobs. Seen in incident inc-3e4e: 34 refusals in 6 s.
+/// although the new owner could store the jobs. This occurred in incident inc-3e4e: 34 refusals in
+/// 6 s.
 #[test]
 fn a_former_owner_that_the_store_turns_away_stores_jobs_through_the_new_one() {
     smol::block_on(async {
