--- a/crates/hosted/src/entry.rs
+++ b/crates/hosted/src/entry.rs
@@ -34,7 +34,8 @@
 const QUERY_TIMEOUT: Duration = Duration::from_millis(500);
 /// Time after a failed call to the store during which this entry sends it no new jobs.
 const STORE_BACKOFF: Duration = Duration::from_millis(700);
-/// `Retry-After` for callers after the store refused a call because of its rate.
+/// `Retry-After` for callers while the store answers, for example after it refused a call because
+/// of its rate.
 const RETRY_AFTER_REFUSAL: Duration = Duration::from_secs(1);
 /// `Retry-After` for callers while the store does not answer. Outages last several seconds.
 const RETRY_AFTER_OUTAGE: Duration = Duration::from_secs(2);
