--- a/crates/entry/src/auth.rs
+++ b/crates/entry/src/auth.rs
@@ -21,7 +21,7 @@
     let Some(value) = headers.get(http::header::AUTHORIZATION) else {
         return Identity::Anonymous;
     };
-    let Some(token) = bearer(value.as_bytes()) else { return Identity::Rejected };
+    let Some(token) = bearer_token(value.as_bytes()) else { return Identity::Rejected };
     // Digests are compared, so that the time of the comparison tells nothing about a token.
     let digest = hex(&Sha256::digest(token));
     if digest == operator_digest {
@@ -34,7 +34,7 @@
     }
 }
 
-fn bearer(value: &[u8]) -> Option<&[u8]> {
+fn bearer_token(value: &[u8]) -> Option<&[u8]> {
     const SCHEME: &[u8] = b"bearer ";
     let (scheme, token) = value.split_at_checked(SCHEME.len())?;
     scheme.eq_ignore_ascii_case(SCHEME).then(|| token.trim_ascii())
--- a/crates/entry/src/cells.rs
+++ b/crates/entry/src/cells.rs
@@ -29,11 +29,11 @@
 use serde::Serialize;
 
 use self::owned::OwnedCell;
-use self::record::Known;
+use self::record::CachedRecord;
 use crate::settings::Settings;
 
 /// Time between two looks at the configured cells.
-const STEP: Duration = Duration::from_millis(500);
+const SCAN_INTERVAL: Duration = Duration::from_millis(500);
 /// Time since the last heartbeat after which job operations are refused at once. Two heartbeats.
 const STORE_DOWN_AFTER: Duration = Duration::from_secs(4);
 
@@ -76,7 +76,7 @@
     address: String,
     outage_hold: Duration,
     owned_cells: Mutex<BTreeMap<CellId, Arc<OwnedCell<S>>>>,
-    known: Mutex<BTreeMap<CellId, Known>>,
+    known: Mutex<BTreeMap<CellId, CachedRecord>>,
     /// Cells that are being looked at or taken over.
     busy: Mutex<BTreeSet<CellId>>,
     placement: Mutex<claim::Placement>,
@@ -135,7 +135,7 @@
             if !self.shared.store_down.load(Ordering::Relaxed) {
                 claim::hand_over(&self.shared, &document, &alive);
             }
-            if runtime::sleep_or_shutdown(STEP, &shutdown).await {
+            if runtime::sleep_or_shutdown(SCAN_INTERVAL, &shutdown).await {
                 break;
             }
         }
--- a/crates/entry/src/cells/claim.rs
+++ b/crates/entry/src/cells/claim.rs
@@ -14,29 +14,29 @@
 use peridotfold_wire::runtime;
 
 use crate::cells::owned::OwnedCell;
-use crate::cells::record::{journal_name, owner_key, Known, OwnerRecord, Replayed};
+use crate::cells::record::{journal_name, owner_key, CachedRecord, OwnerRecord, Replayed};
 use crate::cells::Shared;
 
 /// Time between two reads of the record of a live owner. With 64 cells and 36 entries this makes
 /// 290 reads/s of the store's 2,000.
-const REREAD: Duration = Duration::from_secs(8);
+const RECORD_REFRESH: Duration = Duration::from_secs(8);
 /// The same for the entry that is best placed to own the cell: it may be handed back at any time.
-const REREAD_AS_FIRST: Duration = Duration::from_secs(1);
+const PREFERRED_REFRESH: Duration = Duration::from_secs(1);
 /// Time for which a better placed entry has to be alive before a cell is handed to it. Longer than
 /// the 6 s in which a dead entry is noticed.
-const MISPLACED_AFTER: Duration = Duration::from_secs(10);
+const HAND_OVER_DELAY: Duration = Duration::from_secs(10);
 /// Pause between two cells that are handed over, so that most of the work goes on undisturbed.
 const HAND_OVER_PAUSE: Duration = Duration::from_secs(2);
 /// Time in which the better placed entry has to take over a cell that was handed to it.
 const HAND_OVER_LIMIT: Duration = Duration::from_secs(15);
 /// Time that each better placed entry gets to take over a cell first.
-const TURN: Duration = Duration::from_secs(3);
+const RANK_DELAY: Duration = Duration::from_secs(3);
 /// Replays of the journal in one takeover; each repetition means that the former owner wrote.
-const REPLAYS: usize = 5;
+const MAX_REPLAYS: usize = 5;
 
 /// Starts a look at each configured cell that is not owned here and is due for one.
 pub(super) fn step<S: Store>(shared: &Arc<Shared<S>>, document: &Document, alive: &[EntryView]) {
-    if !is_listed(shared, alive) {
+    if !is_self_listed(shared, alive) {
         return;
     }
     for (cell, config) in &document.cells {
@@ -50,7 +50,7 @@
         }
         let (shared, cell, alive) = (shared.clone(), cell.clone(), alive.to_vec());
         runtime::spawn(async move {
-            if let Err(error) = look(&shared, &cell, &alive, rank).await {
+            if let Err(error) = check_cell(&shared, &cell, &alive, rank).await {
                 tracing::warn!(event = "takeover_failed", cell, %error);
             }
             shared.busy.lock().remove(&cell);
@@ -60,7 +60,7 @@
 }
 
 /// Tells whether the list of live entries is of use: without one, anyone would look dead.
-fn is_listed<S: Store>(shared: &Shared<S>, alive: &[EntryView]) -> bool {
+fn is_self_listed<S: Store>(shared: &Shared<S>, alive: &[EntryView]) -> bool {
     alive.iter().any(|view| view.incarnation == shared.incarnation)
 }
 
@@ -70,9 +70,9 @@
     if handed_over.is_some_and(|since| rank > 0 && now < since + HAND_OVER_LIMIT) {
         return false;
     }
-    let interval = if rank == 0 { REREAD_AS_FIRST } else { REREAD };
+    let interval = if rank == 0 { PREFERRED_REFRESH } else { RECORD_REFRESH };
     match shared.known.lock().get(cell) {
-        Some(known) if is_held(&known.record, alive) => now >= known.read + interval,
+        Some(known) if has_live_owner(&known.record, alive) => now >= known.read + interval,
         _ => true,
     }
 }
@@ -91,7 +91,7 @@
     document: &Document,
     alive: &[EntryView],
 ) {
-    if !is_listed(shared, alive) {
+    if !is_self_listed(shared, alive) {
         return;
     }
     let now = runtime::now();
@@ -109,7 +109,7 @@
     if placement.handed_over.values().any(|since| now < *since + HAND_OVER_PAUSE) {
         return;
     }
-    let due = |(_, since): &(&CellId, &Duration)| now >= **since + MISPLACED_AFTER;
+    let due = |(_, since): &(&CellId, &Duration)| now >= **since + HAND_OVER_DELAY;
     let Some(cell) = placement.misplaced.iter().find(due).map(|(cell, _)| cell.clone()) else {
         return;
     };
@@ -131,7 +131,7 @@
 }
 
 /// Tells whether the recorded owner is alive and still the owner.
-fn is_held(record: &OwnerRecord, alive: &[EntryView]) -> bool {
+fn has_live_owner(record: &OwnerRecord, alive: &[EntryView]) -> bool {
     let is_owner =
         |view: &EntryView| view.entry == record.entry && view.incarnation == record.incarnation;
     !record.released && alive.iter().any(is_owner)
@@ -154,7 +154,7 @@
 }
 
 /// Reads the record of a cell and takes the cell over if its owner is gone.
-async fn look<S: Store>(
+async fn check_cell<S: Store>(
     shared: &Arc<Shared<S>>,
     cell: &CellId,
     alive: &[EntryView],
@@ -162,7 +162,7 @@
 ) -> Result<(), JournalError> {
     let Some((version, record)) = read(shared, cell, alive).await? else { return Ok(()) };
     if rank > 0 {
-        runtime::sleep(TURN * rank).await;
+        runtime::sleep(RANK_DELAY * rank).await;
         // Whoever was better placed has written by now, unless it is gone as well.
         let again = read(shared, cell, alive).await?;
         if again.as_ref().map(|(version, _)| *version) != Some(version) {
@@ -202,11 +202,11 @@
         tracing::error!(event = "owner_record_malformed", cell);
         return Ok(None);
     };
-    let known = Known { record: record.clone(), read: runtime::now() };
+    let known = CachedRecord { record: record.clone(), read: runtime::now() };
     shared.known.lock().insert(cell.clone(), known);
     // An own record without an owned cell: a takeover that did not come to its end.
     let is_own = record.incarnation == shared.incarnation && record.entry == shared.entry;
-    match is_own || !is_held(&record, alive) {
+    match is_own || !has_live_owner(&record, alive) {
         true => Ok(Some((found.version, Some(record)))),
         false => Ok(None),
     }
@@ -231,7 +231,7 @@
     match written.map_err(StoreFailure)? {
         PutOutcome::Conflict(_) => Ok(false),
         PutOutcome::Written(_) => {
-            let known = Known { record, read: runtime::now() };
+            let known = CachedRecord { record, read: runtime::now() };
             shared.known.lock().insert(cell.clone(), known);
             Ok(true)
         }
@@ -247,7 +247,7 @@
     let settings = CellSettings { outage_hold: shared.outage_hold, ..CellSettings::default() };
     let writer = hash::rendezvous(cell.as_bytes(), &shared.incarnation.to_le_bytes()) ^ epoch;
     let name = journal_name(cell);
-    for _ in 0..REPLAYS {
+    for _ in 0..MAX_REPLAYS {
         let mut journal: Journal<S, Replayed> =
             Journal::open(shared.store.clone(), &name, writer).await?;
         // Taken after the replay: a former owner whose write is part of it was the owner until
@@ -256,7 +256,7 @@
         let state = journal.state().0.clone();
         if state.epoch >= epoch {
             tracing::error!(event = "owner_record_behind", cell, epoch, journal = state.epoch);
-            return raise(shared, cell, state.epoch + 1).await;
+            return raise_epoch(shared, cell, state.epoch + 1).await;
         }
         let rng = fastrand::Rng::with_seed(writer);
         let mut owned = Cell::take_over(state, epoch, settings, now, rng);
@@ -278,7 +278,7 @@
 
 /// Writes a record with a higher epoch, for the next look. Needed only when the owner record was
 /// lost while the journal was kept.
-async fn raise<S: Store>(
+async fn raise_epoch<S: Store>(
     shared: &Arc<Shared<S>>,
     cell: &CellId,
     epoch: Epoch,
--- a/crates/entry/src/cells/jobs.rs
+++ b/crates/entry/src/cells/jobs.rs
@@ -104,7 +104,7 @@
         SubmitReply::Full => return unavailable("the cell has no room for more jobs"),
         SubmitReply::Invalid(problems) => return invalid(&problems),
     };
-    match wait(durable).await {
+    match wait_committed(durable).await {
         true => show(owned, None, &id, status),
         false => unavailable("not committed in time; submit the same job again to find out"),
     }
@@ -130,7 +130,7 @@
     match answer {
         CancelReply::NotFound => error(404, "no such job"),
         CancelReply::Ended => error(409, &format!("job {id} has ended")),
-        CancelReply::Accepted if wait(durable).await => show(owned, team, id, 200),
+        CancelReply::Accepted if wait_committed(durable).await => show(owned, team, id, 200),
         CancelReply::Accepted => unavailable("not committed in time; cancel again to find out"),
     }
 }
@@ -143,7 +143,7 @@
 }
 
 /// Waits for the commit; tells whether it came.
-async fn wait(durable: Receiver<()>) -> bool {
+async fn wait_committed(durable: Receiver<()>) -> bool {
     let committed = async { durable.recv().await.is_ok() };
     let timed_out = async {
         runtime::sleep(COMMIT_WAIT).await;
--- a/crates/entry/src/cells/owned.rs
+++ b/crates/entry/src/cells/owned.rs
@@ -20,17 +20,17 @@
 use crate::cells::{Shared, WorkerView};
 
 /// Longest time for which a report without orders is held.
-const HOLD_REPORT: Duration = Duration::from_secs(1);
+const REPORT_HOLD: Duration = Duration::from_secs(1);
 /// Time between two placements, and between two looks at an idle cell.
-const POLL: Duration = Duration::from_millis(25);
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 /// Shortest time between two commits.
-const COMMIT_GAP: Duration = Duration::from_millis(250);
+const COMMIT_INTERVAL: Duration = Duration::from_millis(250);
 /// Sustained commits in a second.
 const COMMIT_RATE: f64 = 2.0;
 /// Pause after a commit that the store did not answer.
 const COMMIT_RETRY: Duration = Duration::from_millis(500);
 /// Time between two checks of the owner record.
-const CHECK_OWNER: Duration = Duration::from_secs(2);
+const OWNER_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 /// Longest time for the last commits and the release at shutdown.
 const RELEASE_LIMIT: Duration = Duration::from_secs(5);
 
@@ -40,7 +40,7 @@
     pub cell: Cell,
     pub tickets: HashMap<Ticket, Sender<()>>,
     pub next_ticket: Ticket,
-    held: HashMap<AgentId, Sender<()>>,
+    held_reports: HashMap<AgentId, Sender<()>>,
     document: Option<Arc<Document>>,
 }
 
@@ -70,15 +70,15 @@
             cell,
             tickets: HashMap::new(),
             next_ticket: 0,
-            held: HashMap::new(),
+            held_reports: HashMap::new(),
             document: None,
         };
         let shared = shared.clone();
         let ended = AtomicBool::new(false);
         let owned =
             Arc::new(OwnedCell { id, shared, epoch, state: Mutex::new(state), ended, work });
-        runtime::spawn(owned.clone().commit_all(journal, worked)).detach();
-        runtime::spawn(owned.clone().poll_all()).detach();
+        runtime::spawn(owned.clone().commit_loop(journal, worked)).detach();
+        runtime::spawn(owned.clone().poll_loop()).detach();
         runtime::spawn(owned.clone().check_owner()).detach();
         owned
     }
@@ -113,7 +113,7 @@
     pub fn with_state<T>(&self, change: impl FnOnce(&mut State) -> T) -> T {
         let mut state = self.state.lock();
         let result = change(&mut state);
-        state.release_effects();
+        state.deliver_effects();
         if state.cell.has_uncommitted() {
             let _ = self.work.try_send(());
         }
@@ -137,8 +137,8 @@
                 return None;
             }
         }
-        let deadline = now + HOLD_REPORT;
-        while let Some(woken) = self.hold(&report.agent) {
+        let deadline = now + REPORT_HOLD;
+        while let Some(woken) = self.register_wait(&report.agent) {
             let left = deadline.saturating_sub(runtime::now());
             let waited = async { woken.recv().await.is_ok() };
             let timed_out = async {
@@ -157,50 +157,50 @@
     }
 
     /// Registers a wait for orders; `None` when there are some.
-    fn hold(&self, agent: &AgentId) -> Option<Receiver<()>> {
+    fn register_wait(&self, agent: &AgentId) -> Option<Receiver<()>> {
         let mut state = self.state.lock();
         if state.cell.has_orders(runtime::now(), agent) {
             return None;
         }
         let (sender, receiver) = async_channel::bounded(1);
-        state.held.insert(agent.clone(), sender);
+        state.held_reports.insert(agent.clone(), sender);
         Some(receiver)
     }
 
     /// Places and checks leases until the owned ends.
-    async fn poll_all(self: Arc<Self>) {
+    async fn poll_loop(self: Arc<Self>) {
         while !self.has_ended() {
             let now = runtime::now();
             self.with_state(|state| state.cell.poll(now));
-            runtime::sleep(POLL).await;
+            runtime::sleep(POLL_INTERVAL).await;
         }
     }
 
     /// Commits until the owned ends: at once when idle, otherwise in groups.
-    async fn commit_all(self: Arc<Self>, mut journal: Journal<S, Replayed>, work: Receiver<()>) {
-        let mut allowance = COMMIT_RATE;
+    async fn commit_loop(self: Arc<Self>, mut journal: Journal<S, Replayed>, work: Receiver<()>) {
+        let mut commit_tokens = COMMIT_RATE;
         let mut last = runtime::now();
         while !self.has_ended() {
             let waited = async {
                 let _ = work.recv().await;
             };
-            future::or(waited, runtime::sleep(HOLD_REPORT)).await;
+            future::or(waited, runtime::sleep(REPORT_HOLD)).await;
             let now = runtime::now();
-            let refilled = allowance + (now - last).as_secs_f64() * COMMIT_RATE;
-            allowance = refilled.min(COMMIT_RATE);
+            let refilled = commit_tokens + (now - last).as_secs_f64() * COMMIT_RATE;
+            commit_tokens = refilled.min(COMMIT_RATE);
             last = now;
             let events = self.state.lock().cell.take_batch();
             if events.is_empty() {
                 continue;
             }
-            allowance -= 1.0;
+            commit_tokens -= 1.0;
             if !self.commit(&mut journal, events).await {
                 let _ = self.work.try_send(());
                 runtime::sleep(COMMIT_RETRY).await;
                 continue;
             }
-            let owed = Duration::from_secs_f64((1.0 - allowance).max(0.0) / COMMIT_RATE);
-            let pause = owed.max(COMMIT_GAP);
+            let owed = Duration::from_secs_f64((1.0 - commit_tokens).max(0.0) / COMMIT_RATE);
+            let pause = owed.max(COMMIT_INTERVAL);
             runtime::sleep(pause.saturating_sub(runtime::now() - now)).await;
         }
     }
@@ -250,8 +250,8 @@
                     tracing::debug!(event = "owner_check_failed", cell = self.id, %error);
                 }
             }
-            self.measure();
-            runtime::sleep(CHECK_OWNER).await;
+            self.update_gauges();
+            runtime::sleep(OWNER_CHECK_INTERVAL).await;
         }
     }
 
@@ -261,7 +261,7 @@
             && record.epoch == self.epoch
     }
 
-    fn measure(&self) {
+    fn update_gauges(&self) {
         let (mut queued, mut running) = (0, 0);
         for job in self.state.lock().cell.state().jobs.values() {
             queued += u64::from(job.waiting());
@@ -279,7 +279,7 @@
         let mut state = self.state.lock();
         state.cell.stop();
         state.tickets.clear();
-        state.held.clear();
+        state.held_reports.clear();
         tracing::warn!(event = "cell_lost", cell = self.id, epoch = self.epoch, reason);
     }
 
@@ -288,10 +288,10 @@
         let deadline = runtime::now() + RELEASE_LIMIT;
         self.with_state(|state| {
             state.cell.release();
-            state.held.clear();
+            state.held_reports.clear();
         });
         while self.state.lock().cell.has_pending_events() && runtime::now() < deadline {
-            runtime::sleep(POLL).await;
+            runtime::sleep(POLL_INTERVAL).await;
             if self.has_ended() {
                 return;
             }
@@ -337,7 +337,7 @@
         (self.next_ticket, receiver)
     }
 
-    fn release_effects(&mut self) {
+    fn deliver_effects(&mut self) {
         for effect in self.cell.take_effects() {
             match effect {
                 Effect::Durable(ticket) => {
@@ -346,7 +346,7 @@
                     }
                 }
                 Effect::Wake(agent) => {
-                    if let Some(sender) = self.held.get(&agent) {
+                    if let Some(sender) = self.held_reports.get(&agent) {
                         let _ = sender.try_send(());
                     }
                 }
--- a/crates/entry/src/cells/record.rs
+++ b/crates/entry/src/cells/record.rs
@@ -40,7 +40,7 @@
 
 /// An owner record as last read.
 #[derive(Debug, Clone)]
-pub struct Known {
+pub struct CachedRecord {
     pub record: OwnerRecord,
     pub read: Duration,
 }
--- a/crates/entry/src/config.rs
+++ b/crates/entry/src/config.rs
@@ -16,31 +16,31 @@
 /// Wait of one watch call. Each call counts against the store's limit on reads. A watch on a
 /// connection that died silently ends after this time and the time limit of a call, which has to be
 /// within the 7 s in which a version has to be in effect.
-const WATCH: Duration = Duration::from_secs(4);
+const WATCH_WAIT: Duration = Duration::from_secs(4);
 /// Pause after a failed call of the store. With the watch and the agents' announcements it stays
 /// within the 7 s in which a version has to be in effect.
-const PAUSE: Duration = Duration::from_secs(1);
-const PEER_LIMIT: Duration = Duration::from_secs(1);
+const RETRY_PAUSE: Duration = Duration::from_secs(1);
+const PEER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Follows the configuration until the signal.
 pub async fn run<S: Store>(context: Arc<Context<S>>, shutdown: Shutdown) {
-    let followed = future::or(follow(&context), follow_agents(&context));
+    let followed = future::or(follow_store(&context), follow_agents(&context));
     future::or(followed, shutdown.wait()).await;
 }
 
-async fn follow<S: Store>(context: &Arc<Context<S>>) {
+async fn follow_store<S: Store>(context: &Arc<Context<S>>) {
     let repository = loop {
         match ConfigRepository::open(context.store.clone(), context.incarnation).await {
             Ok(repository) => break repository,
-            Err(error) => recover(context, &error).await,
+            Err(error) => handle_store_failure(context, &error).await,
         }
     };
     *context.repository.write() = Some(Arc::new(repository.clone()));
     loop {
         adopt(context, &repository);
         let version = repository.current().0;
-        if let Err(error) = repository.wait_for_change(version, WATCH).await {
-            recover(context, &error).await;
+        if let Err(error) = repository.wait_for_change(version, WATCH_WAIT).await {
+            handle_store_failure(context, &error).await;
         }
     }
 }
@@ -55,19 +55,19 @@
 /// the way to it, may be at fault here only, and an entry may know no others.
 async fn follow_agents<S: Store>(context: &Arc<Context<S>>) {
     loop {
-        runtime::sleep(PAUSE).await;
+        runtime::sleep(RETRY_PAUSE).await;
         let version = context.current().map_or(0, |current| current.version);
         if let Some(agent) = context.agent_above(version) {
-            ask(context.clone(), agent, version).await;
+            request_config(context.clone(), agent, version).await;
             ask_entries(context).await;
         }
     }
 }
 
-async fn recover<S: Store>(context: &Arc<Context<S>>, error: &JournalError) {
+async fn handle_store_failure<S: Store>(context: &Arc<Context<S>>, error: &JournalError) {
     tracing::warn!(event = "config_store_failed", %error);
     ask_entries(context).await;
-    runtime::sleep(PAUSE).await;
+    runtime::sleep(RETRY_PAUSE).await;
 }
 
 /// Asks all other entries at the same time; the highest version of the answers takes effect.
@@ -79,16 +79,20 @@
     addresses.remove(&context.internal.to_string());
     let tasks: Vec<_> = addresses
         .into_iter()
-        .map(|address| runtime::spawn(ask(context.clone(), address, version)))
+        .map(|address| runtime::spawn(request_config(context.clone(), address, version)))
         .collect();
     for task in tasks {
         task.await;
     }
 }
 
-async fn ask<S: Store>(context: Arc<Context<S>>, address: String, version: ConfigVersion) {
+async fn request_config<S: Store>(
+    context: Arc<Context<S>>,
+    address: String,
+    version: ConfigVersion,
+) {
     let request = ConfigRequest { version };
-    let result = context.peers.call(&address, "config", &request, PEER_LIMIT).await;
+    let result = context.peers.call(&address, "config", &request, PEER_TIMEOUT).await;
     match result {
         Ok(ConfigReply { update }) => context.install(&address, &update),
         Err(error) => tracing::info!(event = "config_request_failed", %error),
--- a/crates/entry/src/context.rs
+++ b/crates/entry/src/context.rs
@@ -20,12 +20,12 @@
 use peridotfold_wire::shutdown::Shutdown;
 
 use crate::cells::Cells;
-use crate::relay::Relays;
+use crate::relay::RelayQueue;
 use crate::settings::Settings;
 
 /// A version of the configuration.
 #[derive(Debug, Clone)]
-pub struct Current {
+pub struct CurrentConfig {
     pub version: ConfigVersion,
     pub document: Arc<Document>,
 }
@@ -51,18 +51,18 @@
     pub budget: Mutex<RetryBudget>,
     pub keys: Mutex<KeyGate>,
     pub members: Mutex<Members>,
-    pub relays: Mutex<Relays>,
+    pub relays: Mutex<RelayQueue>,
     /// Highest configuration version that an agent has announced, and the agent's address.
-    heard: Mutex<(ConfigVersion, String)>,
+    announced: Mutex<(ConfigVersion, String)>,
     /// Time of the last heartbeat that the store took, in milliseconds since the start.
-    contact: AtomicU64,
+    last_contact: AtomicU64,
     /// When the lists of moves were last fetched; held while they are.
-    pub fetched: smol::lock::Mutex<Option<Time>>,
+    pub lists_fetched: smol::lock::Mutex<Option<Time>>,
     /// Asks for a round of heartbeat and key maps before the next one is due.
     pub early_round: (async_channel::Sender<()>, async_channel::Receiver<()>),
     /// Asks for what is lacking of the lists of moves before the next try is due.
     pub early_fetch: (async_channel::Sender<()>, async_channel::Receiver<()>),
-    numbers: AtomicU64,
+    request_counter: AtomicU64,
     stopping: AtomicBool,
     /// Given when endless responses have to end, some time after the start of a shutdown.
     pub drained: Shutdown,
@@ -92,12 +92,12 @@
             keys: Mutex::new(gate),
             members: Mutex::new(Members::new(settings.dead_after)),
             relays: Mutex::default(),
-            heard: Mutex::default(),
-            contact: AtomicU64::new(0),
-            fetched: smol::lock::Mutex::new(None),
+            announced: Mutex::default(),
+            last_contact: AtomicU64::new(0),
+            lists_fetched: smol::lock::Mutex::new(None),
             early_round: async_channel::bounded(1),
             early_fetch: async_channel::bounded(1),
-            numbers: AtomicU64::new(0),
+            request_counter: AtomicU64::new(0),
             stopping: AtomicBool::new(false),
             drained,
             settings,
@@ -106,10 +106,10 @@
     }
 
     /// Returns the configuration in effect, if any is known.
-    pub fn current(&self) -> Option<Current> {
+    pub fn current(&self) -> Option<CurrentConfig> {
         let config = self.config.read();
         let state = config.as_ref()?;
-        Some(Current { version: state.version, document: state.document.clone() })
+        Some(CurrentConfig { version: state.version, document: state.document.clone() })
     }
 
     /// Returns the document in effect, or the empty one.
@@ -124,16 +124,16 @@
 
     /// Notes a version that an agent has announced.
     pub fn note_version(&self, version: ConfigVersion, address: &str) {
-        let mut heard = self.heard.lock();
-        if version > heard.0 {
-            *heard = (version, address.to_owned());
+        let mut announced = self.announced.lock();
+        if version > announced.0 {
+            *announced = (version, address.to_owned());
         }
     }
 
     /// Returns the address of an agent that has announced a version above `version`.
     pub fn agent_above(&self, version: ConfigVersion) -> Option<String> {
-        let heard = self.heard.lock();
-        (heard.0 > version).then(|| heard.1.clone())
+        let announced = self.announced.lock();
+        (announced.0 > version).then(|| announced.1.clone())
     }
 
     /// Puts an update into effect. Versions that are not higher than the one in effect change
@@ -171,13 +171,13 @@
 
     /// Returns the time since the store last took a heartbeat.
     pub fn store_silence(&self) -> Duration {
-        let contact = Duration::from_millis(self.contact.load(Ordering::Relaxed));
-        runtime::now().saturating_sub(contact)
+        let last_contact = Duration::from_millis(self.last_contact.load(Ordering::Relaxed));
+        runtime::now().saturating_sub(last_contact)
     }
 
     /// Records a heartbeat that was sent at `at`.
     pub fn record_contact(&self, at: Duration) {
-        self.contact.store(at.as_millis() as u64, Ordering::Relaxed);
+        self.last_contact.store(at.as_millis() as u64, Ordering::Relaxed);
     }
 
     /// Asks for a round of heartbeat and key maps soon. A request that waits already is enough.
@@ -187,7 +187,7 @@
 
     /// Draws the identity of a dispatch.
     pub fn next_request(&self) -> RequestId {
-        let number: RequestNumber = self.numbers.fetch_add(1, Ordering::Relaxed);
+        let number: RequestNumber = self.request_counter.fetch_add(1, Ordering::Relaxed);
         RequestId { entry: self.settings.id.clone(), incarnation: self.incarnation, number }
     }
 
--- a/crates/entry/src/headers.rs
+++ b/crates/entry/src/headers.rs
@@ -26,11 +26,11 @@
 ];
 /// Request headers that are meant for the entry. The credential stays here: an upstream has no use
 /// for it.
-const FOR_ENTRY: [&str; 5] = ["authorization", "expect", TEAM, TIMEOUT, crate::trace::HEADER];
+const ENTRY_HEADERS: [&str; 5] = ["authorization", "expect", TEAM, TIMEOUT, crate::trace::HEADER];
 
 /// Returns the headers of a request for the upstream.
-pub fn of_request(headers: &HeaderMap, team: Option<&str>) -> Vec<(Bytes, Bytes)> {
-    let mut passed = end_to_end(headers, |name| !FOR_ENTRY.contains(&name));
+pub fn for_upstream(headers: &HeaderMap, team: Option<&str>) -> Vec<(Bytes, Bytes)> {
+    let mut passed = end_to_end(headers, |name| !ENTRY_HEADERS.contains(&name));
     if let Some(team) = team {
         passed.push((Bytes::from_static(TEAM.as_bytes()), Bytes::from(team.to_owned())));
     }
@@ -38,7 +38,7 @@
 }
 
 /// Adds the headers of an upstream's answer to those for the caller. Malformed ones are dropped.
-pub fn add_answer(headers: &mut HeaderMap, answer: &[(Bytes, Bytes)]) {
+pub fn add_upstream_headers(headers: &mut HeaderMap, answer: &[(Bytes, Bytes)]) {
     for (name, value) in answer {
         match (HeaderName::from_bytes(name), HeaderValue::from_bytes(value)) {
             (Ok(name), Ok(value)) if !HOP_BY_HOP.contains(&name.as_str()) => {
@@ -49,7 +49,7 @@
     }
 }
 
-fn end_to_end(headers: &HeaderMap, fits: impl Fn(&str) -> bool) -> Vec<(Bytes, Bytes)> {
+fn end_to_end(headers: &HeaderMap, is_forwarded: impl Fn(&str) -> bool) -> Vec<(Bytes, Bytes)> {
     let listed: Vec<String> = headers
         .get_all(http::header::CONNECTION)
         .iter()
@@ -61,7 +61,7 @@
         .iter()
         .filter(|(name, _)| {
             let name = name.as_str();
-            fits(name) && !HOP_BY_HOP.contains(&name) && !listed.iter().any(|l| l == name)
+            is_forwarded(name) && !HOP_BY_HOP.contains(&name) && !listed.iter().any(|l| l == name)
         })
         .map(|(name, value)| {
             let name = Bytes::copy_from_slice(name.as_str().as_bytes());
--- a/crates/entry/src/internal.rs
+++ b/crates/entry/src/internal.rs
@@ -28,40 +28,40 @@
     async fn handle(&self, stream: Stream) -> Result<(), WireError> {
         let Stream { kind, mut receiver, responder } = stream;
         match kind.as_str() {
-            "announce" => match self.announce(first(&mut receiver).await?) {
+            "announce" => match self.announce(first_message(&mut receiver).await?) {
                 Some(reply) => responder.reply(&reply).await,
                 None => responder.refuse(StatusCode::CONFLICT, "older than known".into()),
             },
             "relay" => {
-                self.take_relayed(first(&mut receiver).await?);
+                self.take_relayed(first_message(&mut receiver).await?);
                 responder.reply(&()).await
             }
             "report" => {
-                let report: Report = first(&mut receiver).await?;
+                let report: Report = first_message(&mut receiver).await?;
                 match self.context.cells.report(report).await {
                     Ok(orders) => responder.reply(&orders).await,
                     Err(error) => responder.refuse(StatusCode::CONFLICT, refusal(&error)),
                 }
             }
             "forward" => {
-                let forward: Forward = first(&mut receiver).await?;
+                let forward: Forward = first_message(&mut receiver).await?;
                 match self.context.cells.forward(forward).await {
                     Ok(reply) => responder.reply(&reply).await,
                     Err(error) => responder.refuse(StatusCode::CONFLICT, refusal(&error)),
                 }
             }
             "probe" => {
-                let probe: Probe = first(&mut receiver).await?;
+                let probe: Probe = first_message(&mut receiver).await?;
                 let reply = self.context.keys.lock().probe(&probe.service, &probe.key);
                 responder.reply(&reply).await
             }
             "keylist" => {
-                let request: KeyListRequest = first(&mut receiver).await?;
+                let request: KeyListRequest = first_message(&mut receiver).await?;
                 let reply = self.list(&request);
                 responder.reply(&reply).await
             }
             "config" => {
-                let request: ConfigRequest = first(&mut receiver).await?;
+                let request: ConfigRequest = first_message(&mut receiver).await?;
                 match self.context.update_since(request.version) {
                     Some(update) => responder.reply(&ConfigReply { update }).await,
                     None => {
@@ -143,7 +143,7 @@
     }
 }
 
-async fn first<T: DeserializeOwned>(receiver: &mut FrameReceiver) -> Result<T, WireError> {
+async fn first_message<T: DeserializeOwned>(receiver: &mut FrameReceiver) -> Result<T, WireError> {
     match receiver.next().await? {
         Some(message) => Ok(message),
         None => Err(WireError::new(Step::Receive, receiver.peer(), "stream without a message")),
--- a/crates/entry/src/jobs.rs
+++ b/crates/entry/src/jobs.rs
@@ -21,11 +21,11 @@
 use crate::cells::CellError;
 use crate::context::Context;
 use crate::operator::{parameter, read_body};
-use crate::reply::{self, ErrorText};
+use crate::reply::{self, ErrorBody};
 
 /// Path of the jobs.
 pub const PATH: &str = "/v1/jobs";
-const FORWARD_LIMIT: Duration = Duration::from_secs(5);
+const FORWARD_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Part of a submission that decides where it goes.
 #[derive(Deserialize)]
@@ -78,24 +78,24 @@
             Err(response) => *response,
         },
         (&Method::GET, true) => {
-            let cells = chosen.map_or_else(|| all(&document), |cell| vec![cell]);
+            let cells = chosen.map_or_else(|| all_cells(&document), |cell| vec![cell]);
             list(context, cells.into_iter().map(forward).collect()).await
         }
         (&Method::GET | &Method::DELETE, false) => {
-            let cells = chosen.map_or_else(|| ranked(&document, job), |cell| vec![cell]);
+            let cells = chosen.map_or_else(|| ranked_cells(&document, job), |cell| vec![cell]);
             find(context, cells.into_iter().map(forward)).await
         }
         _ => reply::error(StatusCode::METHOD_NOT_ALLOWED, "only POST, GET and DELETE"),
     }
 }
 
-fn all(document: &Document) -> Vec<CellId> {
+fn all_cells(document: &Document) -> Vec<CellId> {
     document.cells.keys().cloned().collect()
 }
 
 /// Returns the cells in the order in which a job without a cell is assigned to them.
-fn ranked(document: &Document, job: &str) -> Vec<CellId> {
-    let mut cells = all(document);
+fn ranked_cells(document: &Document, job: &str) -> Vec<CellId> {
+    let mut cells = all_cells(document);
     let weight = |cell: &CellId| hash::rendezvous(job.as_bytes(), cell.as_bytes());
     cells.sort_by_key(|cell| std::cmp::Reverse(weight(cell)));
     cells
@@ -104,7 +104,7 @@
 fn submission_cell(document: &Document, body: &Bytes) -> Result<CellId, Box<Response<Body>>> {
     let refuse = |status, error: String, field: Option<&str>| {
         let field = field.map(str::to_owned);
-        Err(Box::new(reply::json(status, &ErrorText { error, field, ..ErrorText::default() })))
+        Err(Box::new(reply::json(status, &ErrorBody { error, field, ..ErrorBody::default() })))
     };
     let submission: Submission = match serde_json::from_slice(body) {
         Ok(submission) => submission,
@@ -118,7 +118,7 @@
             let error = format!("no cell {cell} is configured");
             refuse(StatusCode::UNPROCESSABLE_ENTITY, error, Some("cell"))
         }
-        None => match ranked(document, &submission.id).into_iter().next() {
+        None => match ranked_cells(document, &submission.id).into_iter().next() {
             Some(cell) => Ok(cell),
             None => refuse(StatusCode::SERVICE_UNAVAILABLE, "no cell is configured".into(), None),
         },
@@ -160,7 +160,7 @@
     let (mut jobs, mut missing) = (Vec::new(), Vec::new());
     for task in tasks {
         let (cell, result) = task.await;
-        match result.ok().and_then(|reply| listed(&reply)) {
+        match result.ok().and_then(|reply| parse_job_list(&reply)) {
             Some(part) => jobs.extend(part),
             None => missing.push(cell),
         }
@@ -168,7 +168,7 @@
     reply::json(StatusCode::OK, &json!({"jobs": jobs, "missing_cells": missing}))
 }
 
-fn listed(reply: &ForwardReply) -> Option<Vec<Value>> {
+fn parse_job_list(reply: &ForwardReply) -> Option<Vec<Value>> {
     if reply.status != StatusCode::OK.as_u16() {
         return None;
     }
@@ -209,7 +209,7 @@
     owner: &CellOwner,
     forward: &Forward,
 ) -> Result<ForwardReply, Failure> {
-    let result = context.peers.call(&owner.address, "forward", forward, FORWARD_LIMIT).await;
+    let result = context.peers.call(&owner.address, "forward", forward, FORWARD_TIMEOUT).await;
     result.map_err(|error| {
         tracing::info!(event = "forward_failed", cell = forward.cell, %error);
         let peer = error.peer.clone();
@@ -227,12 +227,12 @@
             reply::typed(status, "application/json", reply.body)
         }
         Err(Failure::NoOwner { error, peer }) => {
-            let text = ErrorText { error, step: Some("forward".into()), peer, field: None };
+            let text = ErrorBody { error, step: Some("forward".into()), peer, field: None };
             reply::json(StatusCode::SERVICE_UNAVAILABLE, &text)
         }
         Err(Failure::Unknown { error, peer }) => {
             let step = Some("forward".into());
-            let text = ErrorText { error, step, peer: Some(peer), field: None };
+            let text = ErrorBody { error, step, peer: Some(peer), field: None };
             reply::unknown(StatusCode::GATEWAY_TIMEOUT, text)
         }
     }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -45,7 +45,7 @@
 const DRAIN_GRACE: Duration = Duration::from_secs(30);
 /// Time allowed for open connections of other processes at the end of a shutdown.
 const CLOSE_LIMIT: Duration = Duration::from_secs(2);
-const UPKEEP: Duration = Duration::from_secs(5);
+const METRICS_UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Runs an entry until SIGTERM or SIGINT, then shuts it down without interrupting a request.
 ///
@@ -169,7 +169,7 @@
 }
 
 async fn upkeep(shutdown: Shutdown) {
-    while !runtime::sleep_or_shutdown(UPKEEP, &shutdown).await {
+    while !runtime::sleep_or_shutdown(METRICS_UPKEEP_INTERVAL, &shutdown).await {
         metrics_handle().run_upkeep();
     }
 }
--- a/crates/entry/src/lists.rs
+++ b/crates/entry/src/lists.rs
@@ -15,11 +15,11 @@
 
 /// Time between two looks at what is lacking. Bounds how long a witness has to live after it has
 /// adopted a move.
-const PERIOD: Duration = Duration::from_millis(100);
+const RETRY_MIN: Duration = Duration::from_millis(100);
 /// Longest time between two tries. A list that nobody holds stays lacking for the retention.
-const PERIOD_LIMIT: Duration = Duration::from_secs(2);
+const RETRY_MAX: Duration = Duration::from_secs(2);
 /// Time allowed for one page.
-const PAGE_TIME: Duration = Duration::from_millis(500);
+const PAGE_TIMEOUT: Duration = Duration::from_millis(500);
 
 enum Wake {
     Due,
@@ -30,10 +30,10 @@
 
 /// Fetches lists until the signal.
 pub async fn run<S: Store>(context: Arc<Context<S>>, shutdown: Shutdown) {
-    let (mut pause, mut before) = (PERIOD, Vec::new());
+    let (mut pause, mut before) = (RETRY_MIN, Vec::new());
     loop {
         let early = async {
-            runtime::sleep(PERIOD).await;
+            runtime::sleep(RETRY_MIN).await;
             let _ = context.early_fetch.1.recv().await;
             Wake::Early
         };
@@ -54,8 +54,8 @@
         }
         // A witness is asked soon again until it has adopted the move.
         pause = match missing.is_empty() || missing != before {
-            true => PERIOD,
-            false => (pause * 2).min(PERIOD_LIMIT),
+            true => RETRY_MIN,
+            false => (pause * 2).min(RETRY_MAX),
         };
         before = missing;
     }
@@ -64,9 +64,9 @@
 /// Fetches what is lacking. Concurrent calls wait for each other; one that comes shortly after
 /// another only waits.
 pub async fn fetch<S: Store>(context: &Arc<Context<S>>) {
-    let mut last: smol::lock::MutexGuard<'_, Option<Time>> = context.fetched.lock().await;
+    let mut last: smol::lock::MutexGuard<'_, Option<Time>> = context.lists_fetched.lock().await;
     let now = runtime::now();
-    if last.is_some_and(|at| now.saturating_sub(at) < PERIOD) {
+    if last.is_some_and(|at| now.saturating_sub(at) < RETRY_MIN) {
         return;
     }
     let missing = context.keys.lock().missing(now);
@@ -114,7 +114,7 @@
 ) -> Option<BTreeSet<u128>> {
     let mut whole = BTreeSet::new();
     loop {
-        let reply = context.peers.call(address, "keylist", &request, PAGE_TIME).await;
+        let reply = context.peers.call(address, "keylist", &request, PAGE_TIMEOUT).await;
         match reply {
             Ok(KeyListReply::Page { keys, more }) => {
                 whole.extend(keys);
--- a/crates/entry/src/members.rs
+++ b/crates/entry/src/members.rs
@@ -21,7 +21,7 @@
 const ENTRIES: &str = "entries/";
 const KEY_MAPS: &str = "keymap/";
 /// Tries of the last heartbeat at shutdown.
-const LAST_TRIES: usize = 3;
+const LAST_ATTEMPTS: usize = 3;
 /// Time between two looks at whether another entry has fetched this entry's list. The wait ends
 /// with `keys::COPY_LIMIT`.
 const COPY_POLL: Duration = Duration::from_millis(10);
@@ -36,7 +36,7 @@
     version: u64,
     counter: u64,
     /// A record of this incarnation was written.
-    owned: bool,
+    has_record: bool,
     /// The incarnation whose record was found.
     predecessor: Option<Incarnation>,
     /// Another process has taken this entry's name.
@@ -52,7 +52,7 @@
             context,
             version: 0,
             counter: 0,
-            owned: false,
+            has_record: false,
             predecessor: None,
             replaced: false,
             planner,
@@ -113,8 +113,8 @@
 
     /// Tells the other entries that this one has ended and dispatches nothing more.
     pub async fn write_last(&mut self) {
-        for _ in 0..LAST_TRIES {
-            match self.beat(true).await {
+        for _ in 0..LAST_ATTEMPTS {
+            match self.write_heartbeat(true).await {
                 Ok(()) => return,
                 Err(error) => tracing::warn!(event = "last_heartbeat_failed", %error),
             }
@@ -126,7 +126,7 @@
     /// whether another round should follow at once, to acknowledge or to finish a move.
     async fn round(&mut self) -> Result<bool, StoreError> {
         let start = runtime::now();
-        self.beat(false).await?;
+        self.write_heartbeat(false).await?;
         if self.replaced {
             return Ok(false);
         }
@@ -139,7 +139,7 @@
         Ok(moved || written)
     }
 
-    async fn beat(&mut self, stopped: bool) -> Result<(), StoreError> {
+    async fn write_heartbeat(&mut self, stopped: bool) -> Result<(), StoreError> {
         if self.replaced {
             return Ok(());
         }
@@ -152,7 +152,7 @@
             match self.context.store.put(&key, self.version, value.clone()).await? {
                 PutOutcome::Written(version) => {
                     self.version = version;
-                    self.owned = true;
+                    self.has_record = true;
                     return Ok(());
                 }
                 PutOutcome::Conflict(_) => self.read_own(&key).await?,
@@ -177,10 +177,10 @@
         let is_complete = record.as_ref().is_some_and(|record| record.complete);
         let incarnation = record.map(|record| record.incarnation);
         if incarnation == Some(self.context.incarnation) {
-            self.owned = true;
+            self.has_record = true;
             return Ok(());
         }
-        if self.owned {
+        if self.has_record {
             tracing::error!(event = "entry_replaced", entry = self.context.settings.id);
             self.replaced = true;
             self.context.keys.lock().close();
@@ -198,7 +198,7 @@
         // Until the retention has passed, keys that an earlier incarnation dispatched may matter,
         // unless they were taken over.
         // The first write finds out by its conflict whether there was one.
-        let complete = match self.predecessor.is_some() || !self.owned {
+        let complete = match self.predecessor.is_some() || !self.has_record {
             true => {
                 runtime::now() >= time::lease_wait(RETENTION) || context.keys.lock().is_recovered()
             }
--- a/crates/entry/src/operator.rs
+++ b/crates/entry/src/operator.rs
@@ -16,7 +16,7 @@
 use crate::{config, reply};
 
 /// Largest body of an operator's or submitter's request.
-pub const BODY_LIMIT: usize = 512 * 1024;
+pub const MAX_BODY_BYTES: usize = 512 * 1024;
 /// Header that names the author of a patch.
 const AUTHOR: &str = "peridotfold-author";
 /// Header with the version of the document in the body.
@@ -90,7 +90,7 @@
 ///
 /// Returns the response for a body that is too large or cut.
 pub async fn read_body(incoming: Incoming) -> Result<Bytes, Box<Response<Body>>> {
-    match Limited::new(incoming, BODY_LIMIT).collect().await {
+    match Limited::new(incoming, MAX_BODY_BYTES).collect().await {
         Ok(whole) => Ok(whole.to_bytes()),
         Err(error) => Err(Box::new(reply::error(StatusCode::PAYLOAD_TOO_LARGE, error.to_string()))),
     }
@@ -149,7 +149,7 @@
 async fn patch<S: Store>(context: &Arc<Context<S>>, request: Request<Incoming>) -> Response<Body> {
     let base = parameter(request.uri().query(), "base").and_then(|text| text.parse().ok());
     let Some(base) = base else {
-        let text = reply::ErrorText {
+        let text = reply::ErrorBody {
             error: "the version that the patch changes is missing or not a number".into(),
             field: Some("base".into()),
             ..Default::default()
@@ -169,11 +169,11 @@
             tracing::info!(event = "config_accepted", version, author);
             reply::json(StatusCode::OK, &json!({"version": version}))
         }
-        Err(error) => rejected(context, &repository, &author, error),
+        Err(error) => reject_patch(context, &repository, &author, error),
     }
 }
 
-fn rejected<S: Store>(
+fn reject_patch<S: Store>(
     context: &Arc<Context<S>>,
     repository: &ConfigRepository<S>,
     author: &str,
@@ -197,7 +197,7 @@
         }
         SubmitError::Unavailable(_) => reply::error(StatusCode::SERVICE_UNAVAILABLE, text),
         SubmitError::Unknown(_) => {
-            reply::unknown(StatusCode::GATEWAY_TIMEOUT, reply::ErrorText::new(text))
+            reply::unknown(StatusCode::GATEWAY_TIMEOUT, reply::ErrorBody::new(text))
         }
     }
 }
--- a/crates/entry/src/proxy.rs
+++ b/crates/entry/src/proxy.rs
@@ -40,11 +40,12 @@
     let id = format!("{:032x}", trace.trace);
     let span = tracing::info_span!("request", trace = %id, path = request.uri().path());
     let (sender, receiver) = async_channel::bounded(1);
-    let (_caller, gone) = shutdown::channel();
-    runtime::spawn(exchange(context, request, trace, gone, sender).instrument(span)).detach();
+    let (_caller, caller_gone) = shutdown::channel();
+    runtime::spawn(exchange(context, request, trace, caller_gone, sender).instrument(span))
+        .detach();
     let mut response = match receiver.recv().await {
         Ok(response) => response,
-        Err(_) => reply::unknown(StatusCode::BAD_GATEWAY, reply::ErrorText::new("task ended")),
+        Err(_) => reply::unknown(StatusCode::BAD_GATEWAY, reply::ErrorBody::new("task ended")),
     };
     if let Ok(value) = HeaderValue::from_str(&trace::format(&trace)) {
         response.headers_mut().insert(trace::HEADER, value);
@@ -56,7 +57,7 @@
     context: Arc<Context<S>>,
     request: Request<Incoming>,
     trace: TraceContext,
-    gone: Shutdown,
+    caller_gone: Shutdown,
     sender: Sender<Response<Body>>,
 ) {
     let (parts, incoming) = request.into_parts();
@@ -69,8 +70,8 @@
     };
     let upload = Arc::new(Mutex::new(Upload::new(incoming)));
     let (outcome, in_flight) = match &call.key {
-        Some(key) => keyed::run(&context, &call, key, &upload, &gone).await,
-        None => unkeyed::run(&context, &call, &upload, &gone).await,
+        Some(key) => keyed::run(&context, &call, key, &upload, &caller_gone).await,
+        None => unkeyed::run(&context, &call, &upload, &caller_gone).await,
     };
     record(&call, &outcome);
     match outcome {
@@ -104,7 +105,7 @@
     let (body_sender, body) = Body::parts();
     let mut response = Response::new(body);
     *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
-    headers::add_answer(response.headers_mut(), &headers);
+    headers::add_upstream_headers(response.headers_mut(), &headers);
     let is_endless = !response.headers().contains_key(CONTENT_LENGTH);
     if sender.send(response).await.is_err() {
         return;
--- a/crates/entry/src/proxy/attempt.rs
+++ b/crates/entry/src/proxy/attempt.rs
@@ -20,7 +20,7 @@
 use crate::context::Context;
 use crate::proxy::call::Call;
 use crate::proxy::upload::SharedUpload;
-use crate::reply::ErrorText;
+use crate::reply::ErrorBody;
 
 /// Time for which a final answer waits for the agent's proof that the request was not started:
 /// a few round trips between data centres.
@@ -38,7 +38,7 @@
     /// Certainly not run. `reached` tells whether the agent may have received it.
     NotRun { reason: RefuseReason, retry_after: Duration, reached: bool },
     /// May have run.
-    Unknown { status: StatusCode, error: ErrorText },
+    Unknown { status: StatusCode, error: ErrorBody },
     /// The caller is gone.
     Abandoned { not_run: bool },
 }
@@ -52,12 +52,12 @@
     pub upload: Option<Task<()>>,
 }
 
-enum Stop {
+enum StopReason {
     Deadline,
     Gone,
 }
 
-type Exchanged = Result<(ResponseHead, FrameReceiver, Option<Task<()>>), WireError>;
+type ExchangeResult = Result<(ResponseHead, FrameReceiver, Option<Task<()>>), WireError>;
 
 /// Counts a request as in flight until dropped.
 pub struct InFlight<S: Store> {
@@ -88,10 +88,10 @@
     call: &Call,
     target: &Target,
     upload: &SharedUpload,
-    gone: &Shutdown,
+    caller_gone: &Shutdown,
 ) -> Outcome {
     let begun = runtime::now();
-    let outcome = dispatch(context, call, target, upload, gone).await;
+    let outcome = dispatch(context, call, target, upload, caller_gone).await;
     let feedback = match &outcome {
         Outcome::Answer(answer) if answer.status < 500 => {
             Feedback::Answered(runtime::now().saturating_sub(begun))
@@ -121,21 +121,22 @@
     call: &Call,
     target: &Target,
     upload: &SharedUpload,
-    gone: &Shutdown,
+    caller_gone: &Shutdown,
 ) -> Outcome {
     let connected = future::or(async { Ok(context.peers.connect(&target.address).await) }, async {
-        Err(stop(call, gone).await)
+        Err(wait_stop(call, caller_gone).await)
     });
     match connected.await {
         Ok(Ok(())) => {}
         Ok(Err(error)) => return unreachable(&error),
-        Err(Stop::Deadline) => return not_run(RefuseReason::DeadlinePassed, false),
-        Err(Stop::Gone) => return Outcome::Abandoned { not_run: true },
+        Err(StopReason::Deadline) => return not_run(RefuseReason::DeadlinePassed, false),
+        Err(StopReason::Gone) => return Outcome::Abandoned { not_run: true },
     }
     let id = context.next_request();
     let mut exchange = Box::pin(exchange(&context.peers, call, target, id.clone(), upload));
-    let stopped =
-        future::or(async { Ok(exchange.as_mut().await) }, async { Err(stop(call, gone).await) });
+    let stopped = future::or(async { Ok(exchange.as_mut().await) }, async {
+        Err(wait_stop(call, caller_gone).await)
+    });
     match stopped.await {
         Ok(Ok(exchanged)) => from_head(exchanged),
         Ok(Err(error)) if error.is_not_sent() => unreachable(&error),
@@ -143,15 +144,15 @@
             drop(exchange);
             after_failure(context, target, id, &error).await
         }
-        Err(Stop::Gone) => {
+        Err(StopReason::Gone) => {
             drop(exchange);
             let reply = cancel(context, target, id).await;
             Outcome::Abandoned { not_run: reply == Some(CancelReply::NotStarted) }
         }
-        Err(Stop::Deadline) => {
+        Err(StopReason::Deadline) => {
             let cancelled = cancel(context, target, id.clone());
             let proof = future::or(async { Ok(exchange.as_mut().await) }, async {
-                Err(within(PROOF_WAIT, cancelled).await)
+                Err(with_timeout(PROOF_WAIT, cancelled).await)
             });
             match proof.await {
                 Ok(Ok(exchanged)) => from_head(exchanged),
@@ -169,7 +170,7 @@
     target: &Target,
     id: RequestId,
     upload: &SharedUpload,
-) -> Exchanged {
+) -> ExchangeResult {
     let head = call.head(id, target.incarnation);
     let (sender, pending) = peers.open(&target.address, "request", &head).await?;
     let mut body = upload.lock_arc().await;
@@ -209,7 +210,7 @@
         }
         ResponseHead::Unknown { detail } => Outcome::Unknown {
             status: StatusCode::BAD_GATEWAY,
-            error: ErrorText {
+            error: ErrorBody {
                 error: format!("may have run: {detail}"),
                 field: None,
                 step: Some("receive".into()),
@@ -226,11 +227,11 @@
     id: RequestId,
     error: &WireError,
 ) -> Outcome {
-    match within(PROOF_WAIT, cancel(context, target, id)).await {
+    match with_timeout(PROOF_WAIT, cancel(context, target, id)).await {
         Some(CancelReply::NotStarted) => not_run(RefuseReason::UpstreamUnreachable, true),
         _ => Outcome::Unknown {
             status: StatusCode::BAD_GATEWAY,
-            error: ErrorText {
+            error: ErrorBody {
                 error: format!("may have run: {}", error.detail),
                 field: None,
                 step: Some(error.step.to_string()),
@@ -259,7 +260,7 @@
     async move { receiver.recv().await.ok().flatten() }
 }
 
-async fn within<T>(
+async fn with_timeout<T>(
     limit: Duration,
     task: impl std::future::Future<Output = Option<T>>,
 ) -> Option<T> {
@@ -270,15 +271,15 @@
     .await
 }
 
-async fn stop(call: &Call, gone: &Shutdown) -> Stop {
+async fn wait_stop(call: &Call, caller_gone: &Shutdown) -> StopReason {
     future::or(
         async {
             runtime::sleep(call.remaining()).await;
-            Stop::Deadline
+            StopReason::Deadline
         },
         async {
-            gone.wait().await;
-            Stop::Gone
+            caller_gone.wait().await;
+            StopReason::Gone
         },
     )
     .await
@@ -296,7 +297,7 @@
 fn deadline_unknown(target: &Target) -> Outcome {
     Outcome::Unknown {
         status: StatusCode::GATEWAY_TIMEOUT,
-        error: ErrorText {
+        error: ErrorBody {
             error: "may have run: no answer within the deadline".into(),
             field: None,
             step: Some("timeout".into()),
--- a/crates/entry/src/proxy/call.rs
+++ b/crates/entry/src/proxy/call.rs
@@ -20,11 +20,11 @@
 
 /// Path prefix of callers' requests.
 pub const PREFIX: &str = "/s/";
-const KEY_LIMIT: usize = 256;
+const MAX_KEY_BYTES: usize = 256;
 /// The entry cannot ask others yet whether they have dispatched the key.
-const NO_CONFIG: &str = "no configuration yet; an earlier request with this key may have run";
+const NO_CONFIG_TEXT: &str = "no configuration yet; an earlier request with this key may have run";
 /// Longest deadline that is accepted, so that time arithmetic cannot overflow.
-const TIMEOUT_LIMIT: Duration = Duration::from_secs(24 * 3_600);
+const MAX_TIMEOUT: Duration = Duration::from_secs(24 * 3_600);
 
 /// A request that may be dispatched.
 #[derive(Debug)]
@@ -67,23 +67,25 @@
         let Some(current) = context.current() else {
             let wait = Duration::from_secs(1);
             return Err(Box::new(match has_key(parts) {
-                true => reply::unknown(StatusCode::BAD_GATEWAY, reply::ErrorText::new(NO_CONFIG)),
+                true => {
+                    reply::unknown(StatusCode::BAD_GATEWAY, reply::ErrorBody::new(NO_CONFIG_TEXT))
+                }
                 false => reply::not_run(RefuseReason::NoConfig, wait),
             }));
         };
-        let (name, path) = split(parts);
+        let (name, path) = split_path(parts);
         let Some(service) = current.document.services.get(name) else {
             return Err(refuse(StatusCode::NOT_FOUND, format!("no service {name}")));
         };
         let digest = &context.settings.operator_digest;
         let identity = auth::identify(&parts.headers, &current.document, digest);
-        let team = allow(service, identity)?;
+        let team = authorize(service, identity)?;
         let key = key(parts, team.as_deref())?;
         let started = runtime::now();
         Ok(Call {
             service: name.to_owned(),
             method: parts.method.clone(),
-            headers: headers::of_request(&parts.headers, team.as_deref()),
+            headers: headers::for_upstream(&parts.headers, team.as_deref()),
             path,
             key,
             started,
@@ -126,7 +128,7 @@
 }
 
 /// Splits `/s/<service>/<path>?<query>` into the service and the upstream's path and query.
-fn split(parts: &Parts) -> (&str, String) {
+fn split_path(parts: &Parts) -> (&str, String) {
     let path = parts.uri.path();
     let rest = path.strip_prefix(PREFIX).unwrap_or_default();
     let (service, path) = rest.split_once('/').unwrap_or((rest, ""));
@@ -138,7 +140,7 @@
 }
 
 /// Returns the caller's team if the caller may use the service.
-fn allow(service: &Service, identity: Identity) -> Result<Option<TeamId>, Box<Response<Body>>> {
+fn authorize(service: &Service, identity: Identity) -> Result<Option<TeamId>, Box<Response<Body>>> {
     match identity {
         Identity::Team(team) if service.teams.is_empty() || service.teams.contains(&team) => {
             Ok(Some(team))
@@ -155,13 +157,13 @@
 }
 
 fn has_key(parts: &Parts) -> bool {
-    parts.headers.get(headers::KEY).is_some_and(|key| (1..=KEY_LIMIT).contains(&key.len()))
+    parts.headers.get(headers::KEY).is_some_and(|key| (1..=MAX_KEY_BYTES).contains(&key.len()))
 }
 
 fn key(parts: &Parts, team: Option<&str>) -> Result<Option<Bytes>, Box<Response<Body>>> {
     let Some(value) = parts.headers.get(headers::KEY) else { return Ok(None) };
-    if value.is_empty() || value.len() > KEY_LIMIT {
-        let text = format!("{} must have 1 to {KEY_LIMIT} bytes", headers::KEY);
+    if value.is_empty() || value.len() > MAX_KEY_BYTES {
+        let text = format!("{} must have 1 to {MAX_KEY_BYTES} bytes", headers::KEY);
         return Err(refuse(StatusCode::BAD_REQUEST, text));
     }
     let scope = team.unwrap_or_default().as_bytes();
@@ -172,7 +174,7 @@
     let Some(value) = parts.headers.get(headers::TIMEOUT) else { return Ok(service.timeout()) };
     let millis = value.to_str().ok().and_then(|text| text.trim().parse::<u64>().ok());
     match millis.map(Duration::from_millis) {
-        Some(timeout) if !timeout.is_zero() => Ok(timeout.min(TIMEOUT_LIMIT)),
+        Some(timeout) if !timeout.is_zero() => Ok(timeout.min(MAX_TIMEOUT)),
         _ => {
             let text = format!("{} must be a number of milliseconds above 0", headers::TIMEOUT);
             Err(refuse(StatusCode::BAD_REQUEST, text))
--- a/crates/entry/src/proxy/keyed.rs
+++ b/crates/entry/src/proxy/keyed.rs
@@ -20,13 +20,13 @@
 use crate::proxy::attempt::{self, InFlight, Outcome, RETRY_AFTER};
 use crate::proxy::call::Call;
 use crate::proxy::upload::SharedUpload;
-use crate::reply::ErrorText;
+use crate::reply::ErrorBody;
 
 /// Longest wait for the answers of probes. An entry that is slower counts as unreachable.
-const PROBE_LIMIT: Duration = Duration::from_millis(500);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Longest wait for the proof that a refused key was not run: a final answer is due at once.
-const CONFIRM_LIMIT: Duration = Duration::from_millis(100);
+const CONFIRM_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Dispatches a request to the holder of its key, if that is safe.
 pub async fn run<S: Store>(
@@ -34,11 +34,11 @@
     call: &Call,
     key: &Bytes,
     upload: &SharedUpload,
-    gone: &Shutdown,
+    caller_gone: &Shutdown,
 ) -> (Outcome, Option<InFlight<S>>) {
     let decision = match decide(context, call, key) {
         Decision::Probe { generation, witnesses } => {
-            let limit = PROBE_LIMIT.min(call.remaining());
+            let limit = PROBE_TIMEOUT.min(call.remaining());
             let probing = probe(context, &call.service, key, witnesses, limit);
             let fetching = future::or(lists::fetch(context), runtime::sleep(limit));
             let (results, ()) = future::zip(probing, fetching).await;
@@ -48,7 +48,7 @@
     };
     let holder = match decision {
         Decision::Dispatch(holder) => holder,
-        Decision::Unknown => return (never_again(context, call, key), None),
+        Decision::Unknown => return (unknown_outcome(context, call, key), None),
         // A probe is asked once; a second request for one means that the map changed meanwhile.
         Decision::Refuse | Decision::Probe { .. } => {
             return (confirm_not_run(context, call, key, unavailable()).await, None);
@@ -59,11 +59,11 @@
         return (confirm_not_run(context, call, key, unavailable()).await, None);
     };
     let in_flight = InFlight::begin(context, &target, &call.service);
-    let outcome = attempt::run(context, call, &target, upload, gone).await;
+    let outcome = attempt::run(context, call, &target, upload, caller_gone).await;
     let not_run = matches!(outcome, Outcome::NotRun { .. } | Outcome::Abandoned { not_run: true });
     context.keys.lock().finish(runtime::now(), &call.service, key, not_run);
     let outcome = match &outcome {
-        Outcome::NotRun { reason, reached, .. } if !is_vouched(*reason, *reached) => {
+        Outcome::NotRun { reason, reached, .. } if !proves_not_run(*reason, *reached) => {
             confirm_not_run(context, call, key, outcome).await
         }
         _ => outcome,
@@ -74,7 +74,7 @@
 /// Tells whether a refusal proves that the key was not run by any dispatch. The holder gives these
 /// reasons only for a key that is not in its table, or whose one run was refused; older holders
 /// were excluded before the dispatch. Other refusals concern one copy of the request only.
-fn is_vouched(reason: RefuseReason, reached: bool) -> bool {
+fn proves_not_run(reason: RefuseReason, reached: bool) -> bool {
     reached && matches!(reason, RefuseReason::Overloaded | RefuseReason::KeyUnavailable)
 }
 
@@ -91,13 +91,13 @@
             members.records(runtime::now()).map(|(r, silent)| (r.clone(), silent)).collect();
         (members.last_listed(), plan::witnesses(context.settings.outage_hold, &records))
     };
-    let results = probe(context, &call.service, key, witnesses.clone(), CONFIRM_LIMIT).await;
+    let results = probe(context, &call.service, key, witnesses.clone(), CONFIRM_TIMEOUT).await;
     let now = runtime::now();
     let current = (last_listed, &witnesses[..]);
     let is_denied = context.keys.lock().confirm_not_run(now, &call.service, key, current, &results);
     match is_denied {
         true => refusal,
-        false => never_again(context, call, key),
+        false => unknown_outcome(context, call, key),
     }
 }
 
@@ -179,8 +179,8 @@
     Outcome::NotRun { reason, retry_after: RETRY_AFTER, reached: false }
 }
 
-fn never_again<S: Store>(context: &Arc<Context<S>>, call: &Call, key: &Bytes) -> Outcome {
+fn unknown_outcome<S: Store>(context: &Arc<Context<S>>, call: &Call, key: &Bytes) -> Outcome {
     let cause = context.keys.lock().unknown_cause(runtime::now(), &call.service, key);
     let error = format!("an earlier request with this key may have run; this one was not: {cause}");
-    Outcome::Unknown { status: StatusCode::BAD_GATEWAY, error: ErrorText::new(error) }
+    Outcome::Unknown { status: StatusCode::BAD_GATEWAY, error: ErrorBody::new(error) }
 }
--- a/crates/entry/src/proxy/unkeyed.rs
+++ b/crates/entry/src/proxy/unkeyed.rs
@@ -19,14 +19,14 @@
     context: &Arc<Context<S>>,
     call: &Call,
     upload: &SharedUpload,
-    gone: &Shutdown,
+    caller_gone: &Shutdown,
 ) -> (Outcome, Option<InFlight<S>>) {
     context.budget.lock().earn();
     let mut tried: Vec<AgentId> = Vec::new();
     let Some(mut target) = choose(context, call, &tried) else { return (no_upstream(), None) };
     loop {
         let in_flight = InFlight::begin(context, &target, &call.service);
-        let outcome = attempt::run(context, call, &target, upload, gone).await;
+        let outcome = attempt::run(context, call, &target, upload, caller_gone).await;
         if !may_retry(call, &outcome) || !upload.lock().await.is_replayable() {
             return (outcome, Some(in_flight));
         }
--- a/crates/entry/src/proxy/upload.rs
+++ b/crates/entry/src/proxy/upload.rs
@@ -11,9 +11,9 @@
 use smol::lock::Mutex;
 
 /// Most bytes of a body that are kept for a retry.
-const REPLAY_LIMIT: usize = 256 * 1024;
+const MAX_REPLAY_BYTES: usize = 256 * 1024;
 /// Most bytes in one frame. Small enough that other streams of the connection get their turn.
-const PART_BYTES: usize = 64 * 1024;
+const MAX_FRAME_BYTES: usize = 64 * 1024;
 
 /// Name of the caller in errors.
 const CALLER: &str = "caller";
@@ -22,7 +22,7 @@
 #[derive(Debug)]
 pub struct Upload {
     incoming: Incoming,
-    kept: Vec<Bytes>,
+    replay_parts: Vec<Bytes>,
     size: usize,
     replayable: bool,
     ended: bool,
@@ -35,7 +35,7 @@
     /// Wraps the body of a request.
     pub fn new(incoming: Incoming) -> Self {
         let ended = incoming.is_end_stream();
-        Upload { incoming, kept: Vec::new(), size: 0, replayable: true, ended }
+        Upload { incoming, replay_parts: Vec::new(), size: 0, replayable: true, ended }
     }
 
     /// Tells whether the body has no bytes.
@@ -65,7 +65,7 @@
     }
 
     async fn send_frames(&mut self, sender: &mut FrameSender) -> Result<(), WireError> {
-        for part in self.kept.clone() {
+        for part in self.replay_parts.clone() {
             send_part(sender, part).await?;
         }
         while !self.ended {
@@ -74,7 +74,7 @@
                 Some(Err(error)) => return Err(WireError::new(Step::Receive, CALLER, error)),
                 Some(Ok(frame)) => match frame.into_data() {
                     Ok(part) => {
-                        self.keep(&part);
+                        self.keep_for_replay(&part);
                         send_part(sender, part).await?;
                     }
                     // Trailers are not passed on.
@@ -86,13 +86,13 @@
         sender.finish()
     }
 
-    fn keep(&mut self, part: &Bytes) {
+    fn keep_for_replay(&mut self, part: &Bytes) {
         self.size += part.len();
-        match self.size <= REPLAY_LIMIT {
-            true => self.kept.push(part.clone()),
+        match self.size <= MAX_REPLAY_BYTES {
+            true => self.replay_parts.push(part.clone()),
             false => {
                 self.replayable = false;
-                self.kept = Vec::new();
+                self.replay_parts = Vec::new();
             }
         }
     }
@@ -100,7 +100,7 @@
 
 async fn send_part(sender: &mut FrameSender, mut part: Bytes) -> Result<(), WireError> {
     while !part.is_empty() {
-        let piece = part.split_to(part.len().min(PART_BYTES));
+        let piece = part.split_to(part.len().min(MAX_FRAME_BYTES));
         sender.send(&BodyFrame::Data(piece)).await?;
     }
     Ok(())
--- a/crates/entry/src/recovery.rs
+++ b/crates/entry/src/recovery.rs
@@ -15,9 +15,9 @@
 use crate::context::Context;
 
 /// Time between two looks at which holders are left.
-const PERIOD: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Time allowed for one page.
-const PAGE_TIME: Duration = Duration::from_millis(500);
+const PAGE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Time between two pages of one holder, whose node has 4 KB/s for control.
 const PAGE_PAUSE: Duration = Duration::from_secs(1);
 
@@ -25,7 +25,7 @@
 /// no longer matter.
 pub async fn run<S: Store>(context: Arc<Context<S>>, shutdown: Shutdown) {
     let end = time::lease_wait(peridotfold_core::keys::RETENTION);
-    while !runtime::sleep_or_shutdown(PERIOD, &shutdown).await && runtime::now() < end {
+    while !runtime::sleep_or_shutdown(POLL_INTERVAL, &shutdown).await && runtime::now() < end {
         let Some((ended, holders)) = context.keys.lock().recovery_sources() else { continue };
         let tasks: Vec<_> = holders
             .into_iter()
@@ -81,7 +81,7 @@
         after: None,
     };
     loop {
-        match context.peers.call(&target.address, "keytable", &request, PAGE_TIME).await {
+        match context.peers.call(&target.address, "keytable", &request, PAGE_TIMEOUT).await {
             Ok(KeyTableReply::Page { keys, more }) => {
                 let last = keys.last().map(|key| key.hash);
                 table.extend(keys);
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -16,14 +16,14 @@
 
 /// Time between two messages to an entry. Together with the announcement period and the expiry, a
 /// leaving upstream is known everywhere within 4 s.
-const PERIOD: Duration = Duration::from_millis(500);
+const RELAY_INTERVAL: Duration = Duration::from_millis(500);
 /// Time allowed for one message; the announcements in it are of no use afterwards.
-const LIMIT: Duration = Duration::from_millis(900);
+const RELAY_TIMEOUT: Duration = Duration::from_millis(900);
 /// Announcements in one message: at about 105 bytes each, well below the frame limit.
-const PAGE: usize = 2_000;
+const MAX_PAGE_LEN: usize = 2_000;
 
 #[derive(Debug)]
-struct Heard {
+struct PendingAnnounce {
     at: Time,
     announce: Announce,
     homes: BTreeSet<EntryId>,
@@ -31,11 +31,11 @@
 
 /// Announcements that wait to be passed on, the newest of each agent.
 #[derive(Debug, Default)]
-pub struct Relays {
-    waiting: HashMap<AgentId, Heard>,
+pub struct RelayQueue {
+    queued: HashMap<AgentId, PendingAnnounce>,
 }
 
-impl Relays {
+impl RelayQueue {
     /// Adds an announcement that arrived first-hand, if `own` is one of those that pass it on.
     pub fn add(&mut self, own: &EntryId, at: Time, announce: Announce, entries: &[EntryAddress]) {
         if entries.len() <= HOME_ENTRIES {
@@ -44,39 +44,45 @@
         let homes = homes::homes(&announce.agent, &announce.data_centre, entries);
         if homes::is_relaying(own, &homes) {
             let homes = homes.into_iter().map(|home| home.entry.clone()).collect();
-            self.waiting.insert(announce.agent.clone(), Heard { at, announce, homes });
+            self.queued.insert(announce.agent.clone(), PendingAnnounce { at, announce, homes });
         }
     }
 
-    fn take(&mut self) -> Vec<Heard> {
-        self.waiting.drain().map(|(_, heard)| heard).collect()
+    fn take(&mut self) -> Vec<PendingAnnounce> {
+        self.queued.drain().map(|(_, pending)| pending).collect()
     }
 }
 
 /// Passes announcements on until the signal.
 pub async fn run<S: Store>(context: Arc<Context<S>>, shutdown: Shutdown) {
-    while !runtime::sleep_or_shutdown(PERIOD, &shutdown).await {
-        let heard = Arc::new(context.relays.lock().take());
-        if heard.is_empty() {
+    while !runtime::sleep_or_shutdown(RELAY_INTERVAL, &shutdown).await {
+        let pending = Arc::new(context.relays.lock().take());
+        if pending.is_empty() {
             continue;
         }
         for entry in context.entry_addresses() {
             if entry.entry != context.settings.id {
-                let send = send(context.clone(), entry, heard.clone());
+                let send = send(context.clone(), entry, pending.clone());
                 runtime::spawn(send).detach();
             }
         }
     }
 }
 
-async fn send<S: Store>(context: Arc<Context<S>>, entry: EntryAddress, heard: Arc<Vec<Heard>>) {
-    let missing: Vec<&Heard> =
-        heard.iter().filter(|heard| !heard.homes.contains(&entry.entry)).collect();
-    for page in missing.chunks(PAGE) {
+async fn send<S: Store>(
+    context: Arc<Context<S>>,
+    entry: EntryAddress,
+    pending: Arc<Vec<PendingAnnounce>>,
+) {
+    let missing: Vec<&PendingAnnounce> =
+        pending.iter().filter(|pending| !pending.homes.contains(&entry.entry)).collect();
+    for page in missing.chunks(MAX_PAGE_LEN) {
         let now = runtime::now();
-        let pair = |heard: &&Heard| (heard.announce.clone(), now.saturating_sub(heard.at));
+        let pair =
+            |pending: &&PendingAnnounce| (pending.announce.clone(), now.saturating_sub(pending.at));
         let relay = Relay { announcements: page.iter().map(pair).collect() };
-        let sent: Result<(), _> = context.peers.call(&entry.address, "relay", &relay, LIMIT).await;
+        let sent: Result<(), _> =
+            context.peers.call(&entry.address, "relay", &relay, RELAY_TIMEOUT).await;
         if let Err(error) = sent {
             tracing::debug!(event = "relay_failed", entry = entry.entry, %error);
             return;
--- a/crates/entry/src/reply.rs
+++ b/crates/entry/src/reply.rs
@@ -12,7 +12,7 @@
 
 /// An error as told to callers and operators.
 #[derive(Debug, Default, Serialize)]
-pub struct ErrorText {
+pub struct ErrorBody {
     pub error: String,
     #[serde(skip_serializing_if = "Option::is_none")]
     pub field: Option<String>,
@@ -22,10 +22,10 @@
     pub peer: Option<String>,
 }
 
-impl ErrorText {
+impl ErrorBody {
     /// Builds an error that names no field, step or peer.
     pub fn new(error: impl Into<String>) -> Self {
-        ErrorText { error: error.into(), ..ErrorText::default() }
+        ErrorBody { error: error.into(), ..ErrorBody::default() }
     }
 }
 
@@ -54,7 +54,7 @@
 
 /// Returns an error without further parts.
 pub fn error(status: StatusCode, text: impl Into<String>) -> Response<Body> {
-    json(status, &ErrorText::new(text))
+    json(status, &ErrorBody::new(text))
 }
 
 /// Returns the outcome of a request that was certainly not run.
@@ -78,7 +78,7 @@
 }
 
 /// Returns the outcome of a request that may have run.
-pub fn unknown(status: StatusCode, error: ErrorText) -> Response<Body> {
+pub fn unknown(status: StatusCode, error: ErrorBody) -> Response<Body> {
     with_unknown_outcome(json(status, &error))
 }
 
