--- a/crates/entry/src/cells.rs
+++ b/crates/entry/src/cells.rs
@@ -76,9 +76,9 @@
     address: String,
     outage_hold: Duration,
     owned_cells: Mutex<BTreeMap<CellId, Arc<OwnedCell<S>>>>,
-    known: Mutex<BTreeMap<CellId, CachedRecord>>,
+    owner_cache: Mutex<BTreeMap<CellId, CachedRecord>>,
     /// Cells that are being looked at or taken over.
-    busy: Mutex<BTreeSet<CellId>>,
+    in_progress: Mutex<BTreeSet<CellId>>,
     placement: Mutex<claim::Placement>,
     store_down: AtomicBool,
     document: Mutex<Arc<Document>>,
@@ -104,8 +104,8 @@
             address: internal.to_string(),
             outage_hold: settings.outage_hold,
             owned_cells: Mutex::default(),
-            known: Mutex::default(),
-            busy: Mutex::default(),
+            owner_cache: Mutex::default(),
+            in_progress: Mutex::default(),
             placement: Mutex::default(),
             store_down: AtomicBool::new(false),
             document: Mutex::default(),
@@ -131,7 +131,7 @@
             *self.shared.document.lock() = document.clone();
             self.update_owned(&document);
             let alive = alive();
-            claim::step(&self.shared, &document, &alive);
+            claim::scan_cells(&self.shared, &document, &alive);
             if !self.shared.store_down.load(Ordering::Relaxed) {
                 claim::hand_over(&self.shared, &document, &alive);
             }
@@ -166,7 +166,7 @@
     /// Fails when this entry does not own the cell.
     pub async fn report(&self, report: Report) -> Result<Orders, CellError> {
         let cell = report.cell.clone();
-        let owned = self.owned(&cell)?;
+        let owned = self.owned_cell(&cell)?;
         owned.report(report).await.ok_or_else(|| self.not_owner(&cell))
     }
 
@@ -176,7 +176,7 @@
     ///
     /// Fails when this entry does not own the cell; nothing was done.
     pub async fn forward(&self, forward: Forward) -> Result<ForwardReply, CellError> {
-        let owned = self.owned(&forward.cell)?;
+        let owned = self.owned_cell(&forward.cell)?;
         let store_down = self.shared.store_down.load(Ordering::Relaxed);
         Ok(jobs::perform(&owned, &forward, store_down).await)
     }
@@ -186,7 +186,7 @@
         if let Some(owned) = self.shared.owned_cells.lock().get(cell).filter(|o| !o.has_ended()) {
             return Some(owned.owner());
         }
-        let known = self.shared.known.lock();
+        let known = self.shared.owner_cache.lock();
         let record = &known.get(cell)?.record;
         // A record of this entry without an owned cell is a former one.
         (!record.released && record.entry != self.shared.entry).then(|| record.owner())
@@ -198,7 +198,7 @@
         owned_cells.iter().flat_map(|owned| owned.workers()).collect()
     }
 
-    fn owned(&self, cell: &str) -> Result<Arc<OwnedCell<S>>, CellError> {
+    fn owned_cell(&self, cell: &str) -> Result<Arc<OwnedCell<S>>, CellError> {
         let owned = self.shared.owned_cells.lock().get(cell).cloned();
         owned.filter(|owned| !owned.has_ended()).ok_or_else(|| self.not_owner(cell))
     }
--- a/crates/entry/src/cells/claim.rs
+++ b/crates/entry/src/cells/claim.rs
@@ -35,7 +35,11 @@
 const MAX_REPLAYS: usize = 5;
 
 /// Starts a look at each configured cell that is not owned here and is due for one.
-pub(super) fn step<S: Store>(shared: &Arc<Shared<S>>, document: &Document, alive: &[EntryView]) {
+pub(super) fn scan_cells<S: Store>(
+    shared: &Arc<Shared<S>>,
+    document: &Document,
+    alive: &[EntryView],
+) {
     if !is_self_listed(shared, alive) {
         return;
     }
@@ -45,7 +49,7 @@
         if owned || !is_due(shared, cell, alive, rank) {
             continue;
         }
-        if !shared.busy.lock().insert(cell.clone()) {
+        if !shared.in_progress.lock().insert(cell.clone()) {
             continue;
         }
         let (shared, cell, alive) = (shared.clone(), cell.clone(), alive.to_vec());
@@ -53,7 +57,7 @@
             if let Err(error) = check_cell(&shared, &cell, &alive, rank).await {
                 tracing::warn!(event = "takeover_failed", cell, %error);
             }
-            shared.busy.lock().remove(&cell);
+            shared.in_progress.lock().remove(&cell);
         })
         .detach();
     }
@@ -71,8 +75,8 @@
         return false;
     }
     let interval = if rank == 0 { PREFERRED_REFRESH } else { RECORD_REFRESH };
-    match shared.known.lock().get(cell) {
-        Some(known) if has_live_owner(&known.record, alive) => now >= known.read + interval,
+    match shared.owner_cache.lock().get(cell) {
+        Some(known) if has_live_owner(&known.record, alive) => now >= known.read_at + interval,
         _ => true,
     }
 }
@@ -114,7 +118,7 @@
         return;
     };
     // Busy until the release has ended, so that it is not taken for an unfinished takeover.
-    if !shared.busy.lock().insert(cell.clone()) {
+    if !shared.in_progress.lock().insert(cell.clone()) {
         return;
     }
     placement.misplaced.remove(&cell);
@@ -125,7 +129,7 @@
         if let Some(owned) = owned {
             owned.release().await;
         }
-        shared.busy.lock().remove(&cell);
+        shared.in_progress.lock().remove(&cell);
     })
     .detach();
 }
@@ -160,11 +164,11 @@
     alive: &[EntryView],
     rank: u32,
 ) -> Result<(), JournalError> {
-    let Some((version, record)) = read(shared, cell, alive).await? else { return Ok(()) };
+    let Some((version, record)) = read_record(shared, cell, alive).await? else { return Ok(()) };
     if rank > 0 {
         runtime::sleep(RANK_DELAY * rank).await;
         // Whoever was better placed has written by now, unless it is gone as well.
-        let again = read(shared, cell, alive).await?;
+        let again = read_record(shared, cell, alive).await?;
         if again.as_ref().map(|(version, _)| *version) != Some(version) {
             return Ok(());
         }
@@ -182,7 +186,8 @@
     version: u64,
     epoch: Epoch,
 ) -> Result<(), JournalError> {
-    if shared.closing.load(Ordering::Acquire) || !write(shared, cell, version, epoch).await? {
+    if shared.closing.load(Ordering::Acquire) || !write_record(shared, cell, version, epoch).await?
+    {
         return Ok(());
     }
     take_over(shared, cell, epoch).await
@@ -191,7 +196,7 @@
 type Vacancy = (u64, Option<OwnerRecord>);
 
 /// Reads the record; `None` when the owner is still the owner of record.
-async fn read<S: Store>(
+async fn read_record<S: Store>(
     shared: &Shared<S>,
     cell: &CellId,
     alive: &[EntryView],
@@ -202,8 +207,8 @@
         tracing::error!(event = "owner_record_malformed", cell);
         return Ok(None);
     };
-    let known = CachedRecord { record: record.clone(), read: runtime::now() };
-    shared.known.lock().insert(cell.clone(), known);
+    let known = CachedRecord { record: record.clone(), read_at: runtime::now() };
+    shared.owner_cache.lock().insert(cell.clone(), known);
     // An own record without an owned cell: a takeover that did not come to its end.
     let is_own = record.incarnation == shared.incarnation && record.entry == shared.entry;
     match is_own || !has_live_owner(&record, alive) {
@@ -214,7 +219,7 @@
 
 /// Records this entry as the owner. Tells whether that succeeded; after a lost response the next
 /// look finds the record and takes over with a further epoch.
-async fn write<S: Store>(
+async fn write_record<S: Store>(
     shared: &Shared<S>,
     cell: &CellId,
     version: u64,
@@ -231,8 +236,8 @@
     match written.map_err(StoreFailure)? {
         PutOutcome::Conflict(_) => Ok(false),
         PutOutcome::Written(_) => {
-            let known = CachedRecord { record, read: runtime::now() };
-            shared.known.lock().insert(cell.clone(), known);
+            let known = CachedRecord { record, read_at: runtime::now() };
+            shared.owner_cache.lock().insert(cell.clone(), known);
             Ok(true)
         }
     }
@@ -284,7 +289,7 @@
     epoch: Epoch,
 ) -> Result<(), JournalError> {
     let found = shared.store.get(&owner_key(cell)).await.map_err(StoreFailure)?;
-    write(shared, cell, found.map_or(0, |found| found.version), epoch).await?;
+    write_record(shared, cell, found.map_or(0, |found| found.version), epoch).await?;
     Ok(())
 }
 
--- a/crates/entry/src/cells/owned.rs
+++ b/crates/entry/src/cells/owned.rs
@@ -39,7 +39,7 @@
 pub(super) struct State {
     pub cell: Cell,
     pub tickets: HashMap<Ticket, Sender<()>>,
-    pub next_ticket: Ticket,
+    pub last_ticket: Ticket,
     held_reports: HashMap<AgentId, Sender<()>>,
     document: Option<Arc<Document>>,
 }
@@ -53,7 +53,7 @@
     state: Mutex<State>,
     ended: AtomicBool,
     /// Wakes the committing task.
-    work: Sender<()>,
+    commit_signal: Sender<()>,
 }
 
 impl<S: Store> OwnedCell<S> {
@@ -65,19 +65,25 @@
         cell: Cell,
         journal: Journal<S, Replayed>,
     ) -> Arc<Self> {
-        let (work, worked) = async_channel::bounded(1);
+        let (commit_signal, commit_wanted) = async_channel::bounded(1);
         let state = State {
             cell,
             tickets: HashMap::new(),
-            next_ticket: 0,
+            last_ticket: 0,
             held_reports: HashMap::new(),
             document: None,
         };
         let shared = shared.clone();
         let ended = AtomicBool::new(false);
-        let owned =
-            Arc::new(OwnedCell { id, shared, epoch, state: Mutex::new(state), ended, work });
-        runtime::spawn(owned.clone().commit_loop(journal, worked)).detach();
+        let owned = Arc::new(OwnedCell {
+            id,
+            shared,
+            epoch,
+            state: Mutex::new(state),
+            ended,
+            commit_signal,
+        });
+        runtime::spawn(owned.clone().commit_loop(journal, commit_wanted)).detach();
         runtime::spawn(owned.clone().poll_loop()).detach();
         runtime::spawn(owned.clone().check_owner()).detach();
         owned
@@ -115,7 +121,7 @@
         let result = change(&mut state);
         state.deliver_effects();
         if state.cell.has_uncommitted() {
-            let _ = self.work.try_send(());
+            let _ = self.commit_signal.try_send(());
         }
         result
     }
@@ -132,7 +138,7 @@
             }
             ReportStatus::NotOwner => {
                 if report.epoch > self.epoch {
-                    self.end("a report names a higher epoch");
+                    self.lose("a report names a higher epoch");
                 }
                 return None;
             }
@@ -177,12 +183,16 @@
     }
 
     /// Commits until the owned ends: at once when idle, otherwise in groups.
-    async fn commit_loop(self: Arc<Self>, mut journal: Journal<S, Replayed>, work: Receiver<()>) {
+    async fn commit_loop(
+        self: Arc<Self>,
+        mut journal: Journal<S, Replayed>,
+        commit_wanted: Receiver<()>,
+    ) {
         let mut commit_tokens = COMMIT_RATE;
         let mut last = runtime::now();
         while !self.has_ended() {
             let waited = async {
-                let _ = work.recv().await;
+                let _ = commit_wanted.recv().await;
             };
             future::or(waited, runtime::sleep(REPORT_HOLD)).await;
             let now = runtime::now();
@@ -195,7 +205,7 @@
             }
             commit_tokens -= 1.0;
             if !self.commit(&mut journal, events).await {
-                let _ = self.work.try_send(());
+                let _ = self.commit_signal.try_send(());
                 runtime::sleep(COMMIT_RETRY).await;
                 continue;
             }
@@ -227,7 +237,7 @@
                 false
             }
             Err(error) => {
-                self.end(&error.to_string());
+                self.lose(&error.to_string());
                 false
             }
         }
@@ -243,9 +253,9 @@
                     Some(record) if self.is_own(&record) => {
                         self.state.lock().cell.record_store_contact(start);
                     }
-                    _ => self.end("another owner is recorded"),
+                    _ => self.lose("another owner is recorded"),
                 },
-                Ok(None) => self.end("the owner record is gone"),
+                Ok(None) => self.lose("the owner record is gone"),
                 Err(error) => {
                     tracing::debug!(event = "owner_check_failed", cell = self.id, %error);
                 }
@@ -272,7 +282,7 @@
     }
 
     /// Leaves owned: another owner may be in it.
-    fn end(&self, reason: &str) {
+    fn lose(&self, reason: &str) {
         if self.ended.swap(true, Ordering::AcqRel) {
             return;
         }
@@ -332,9 +342,9 @@
     /// Returns a ticket, and the signal that it has become durable.
     pub fn ticket(&mut self) -> (Ticket, Receiver<()>) {
         let (sender, receiver) = async_channel::bounded(1);
-        self.next_ticket += 1;
-        self.tickets.insert(self.next_ticket, sender);
-        (self.next_ticket, receiver)
+        self.last_ticket += 1;
+        self.tickets.insert(self.last_ticket, sender);
+        (self.last_ticket, receiver)
     }
 
     fn deliver_effects(&mut self) {
--- a/crates/entry/src/cells/record.rs
+++ b/crates/entry/src/cells/record.rs
@@ -42,7 +42,7 @@
 #[derive(Debug, Clone)]
 pub struct CachedRecord {
     pub record: OwnerRecord,
-    pub read: Duration,
+    pub read_at: Duration,
 }
 
 /// Key of the owner record.
--- a/crates/entry/src/internal.rs
+++ b/crates/entry/src/internal.rs
@@ -57,7 +57,7 @@
             }
             "keylist" => {
                 let request: KeyListRequest = first_message(&mut receiver).await?;
-                let reply = self.list(&request);
+                let reply = self.list_keys(&request);
                 responder.reply(&reply).await
             }
             "config" => {
@@ -115,7 +115,7 @@
 }
 
 impl<S: Store> Internal<S> {
-    fn list(&self, request: &KeyListRequest) -> KeyListReply {
+    fn list_keys(&self, request: &KeyListRequest) -> KeyListReply {
         let now = runtime::now();
         let mut keys = self.context.keys.lock();
         let reply = keys.list(request);
--- a/crates/entry/src/jobs.rs
+++ b/crates/entry/src/jobs.rs
@@ -74,16 +74,16 @@
     };
     match (&parts.method, job.is_empty()) {
         (&Method::POST, true) => match submission_cell(&document, &body) {
-            Ok(cell) => respond(send(context, forward(cell)).await),
+            Ok(cell) => respond(perform(context, forward(cell)).await),
             Err(response) => *response,
         },
         (&Method::GET, true) => {
             let cells = chosen.map_or_else(|| all_cells(&document), |cell| vec![cell]);
-            list(context, cells.into_iter().map(forward).collect()).await
+            list_jobs(context, cells.into_iter().map(forward).collect()).await
         }
         (&Method::GET | &Method::DELETE, false) => {
             let cells = chosen.map_or_else(|| ranked_cells(&document, job), |cell| vec![cell]);
-            find(context, cells.into_iter().map(forward)).await
+            find_job(context, cells.into_iter().map(forward)).await
         }
         _ => reply::error(StatusCode::METHOD_NOT_ALLOWED, "only POST, GET and DELETE"),
     }
@@ -126,13 +126,13 @@
 }
 
 /// Asks each cell until one knows the job.
-async fn find<S: Store>(
+async fn find_job<S: Store>(
     context: &Arc<Context<S>>,
     forwards: impl Iterator<Item = Forward>,
 ) -> Response<Body> {
     let mut failed = None;
     for forward in forwards {
-        match send(context, forward).await {
+        match perform(context, forward).await {
             Ok(reply) if reply.status == StatusCode::NOT_FOUND.as_u16() => {}
             Ok(reply) => return respond(Ok(reply)),
             Err(failure) => failed = Some(failure),
@@ -146,14 +146,14 @@
 }
 
 /// Asks all cells at the same time and joins their lists.
-async fn list<S: Store>(context: &Arc<Context<S>>, forwards: Vec<Forward>) -> Response<Body> {
+async fn list_jobs<S: Store>(context: &Arc<Context<S>>, forwards: Vec<Forward>) -> Response<Body> {
     let tasks: Vec<_> = forwards
         .into_iter()
         .map(|forward| {
             let context = context.clone();
             runtime::spawn(async move {
                 let cell = forward.cell.clone();
-                (cell, send(&context, forward).await)
+                (cell, perform(&context, forward).await)
             })
         })
         .collect();
@@ -182,19 +182,19 @@
     }
 }
 
-async fn send<S: Store>(
+async fn perform<S: Store>(
     context: &Arc<Context<S>>,
     forward: Forward,
 ) -> Result<ForwardReply, Failure> {
     let owner = context.cells.owner(&forward.cell);
     match owner {
         Some(owner) if owner.entry != context.settings.id => {
-            send_to(context, &owner, &forward).await
+            forward_to(context, &owner, &forward).await
         }
         _ => match context.cells.forward(forward.clone()).await {
             Ok(reply) => Ok(reply),
             Err(CellError::NotOwner(Some(owner))) if owner.entry != context.settings.id => {
-                send_to(context, &owner, &forward).await
+                forward_to(context, &owner, &forward).await
             }
             Err(CellError::NotOwner(_)) => {
                 let error = format!("no owner of cell {} is known", forward.cell);
@@ -204,7 +204,7 @@
     }
 }
 
-async fn send_to<S: Store>(
+async fn forward_to<S: Store>(
     context: &Arc<Context<S>>,
     owner: &CellOwner,
     forward: &Forward,
--- a/crates/entry/src/proxy.rs
+++ b/crates/entry/src/proxy.rs
@@ -198,7 +198,7 @@
             tracing::debug!(event = "request_answered", service = call.service, status, micros);
         }
         Outcome::NotRun { reason, .. } => {
-            let reason = reply::describe(*reason);
+            let reason = reply::describe_reason(*reason);
             tracing::debug!(event = "request_not_run", service = call.service, reason, micros);
         }
         Outcome::Unknown { error, .. } => {
--- a/crates/entry/src/proxy/attempt.rs
+++ b/crates/entry/src/proxy/attempt.rs
@@ -138,7 +138,7 @@
         Err(wait_stop(call, caller_gone).await)
     });
     match stopped.await {
-        Ok(Ok(exchanged)) => from_head(exchanged),
+        Ok(Ok(exchanged)) => outcome_from_head(exchanged),
         Ok(Err(error)) if error.is_not_sent() => unreachable(&error),
         Ok(Err(error)) => {
             drop(exchange);
@@ -155,7 +155,7 @@
                 Err(with_timeout(PROOF_WAIT, cancelled).await)
             });
             match proof.await {
-                Ok(Ok(exchanged)) => from_head(exchanged),
+                Ok(Ok(exchanged)) => outcome_from_head(exchanged),
                 Err(Some(CancelReply::NotStarted)) => not_run(RefuseReason::DeadlinePassed, true),
                 Ok(Err(_)) | Err(_) => deadline_unknown(target),
             }
@@ -200,7 +200,9 @@
     }
 }
 
-fn from_head((head, receiver, upload): (ResponseHead, FrameReceiver, Option<Task<()>>)) -> Outcome {
+fn outcome_from_head(
+    (head, receiver, upload): (ResponseHead, FrameReceiver, Option<Task<()>>),
+) -> Outcome {
     match head {
         ResponseHead::Answer { status, headers, replayed: _ } => {
             Outcome::Answer(Answer { status, headers, receiver, upload })
--- a/crates/entry/src/proxy/call.rs
+++ b/crates/entry/src/proxy/call.rs
@@ -80,7 +80,7 @@
         let digest = &context.settings.operator_digest;
         let identity = auth::identify(&parts.headers, &current.document, digest);
         let team = authorize(service, identity)?;
-        let key = key(parts, team.as_deref())?;
+        let key = parse_key(parts, team.as_deref())?;
         let started = runtime::now();
         Ok(Call {
             service: name.to_owned(),
@@ -89,7 +89,7 @@
             path,
             key,
             started,
-            deadline: started + timeout(parts, service)?,
+            deadline: started + parse_timeout(parts, service)?,
             version: current.version,
             trace,
         })
@@ -160,7 +160,7 @@
     parts.headers.get(headers::KEY).is_some_and(|key| (1..=MAX_KEY_BYTES).contains(&key.len()))
 }
 
-fn key(parts: &Parts, team: Option<&str>) -> Result<Option<Bytes>, Box<Response<Body>>> {
+fn parse_key(parts: &Parts, team: Option<&str>) -> Result<Option<Bytes>, Box<Response<Body>>> {
     let Some(value) = parts.headers.get(headers::KEY) else { return Ok(None) };
     if value.is_empty() || value.len() > MAX_KEY_BYTES {
         let text = format!("{} must have 1 to {MAX_KEY_BYTES} bytes", headers::KEY);
@@ -170,7 +170,7 @@
     Ok(Some(Bytes::from([scope, b"\0", value.as_bytes()].concat())))
 }
 
-fn timeout(parts: &Parts, service: &Service) -> Result<Duration, Box<Response<Body>>> {
+fn parse_timeout(parts: &Parts, service: &Service) -> Result<Duration, Box<Response<Body>>> {
     let Some(value) = parts.headers.get(headers::TIMEOUT) else { return Ok(service.timeout()) };
     let millis = value.to_str().ok().and_then(|text| text.trim().parse::<u64>().ok());
     match millis.map(Duration::from_millis) {
--- a/crates/entry/src/recovery.rs
+++ b/crates/entry/src/recovery.rs
@@ -31,7 +31,9 @@
             .into_iter()
             .map(|(service, holder)| {
                 let context = context.clone();
-                runtime::spawn(async move { take_over(&context, service, holder, ended).await })
+                runtime::spawn(
+                    async move { take_over_keys(&context, service, holder, ended).await },
+                )
             })
             .collect();
         let reading = async {
@@ -49,13 +51,13 @@
     }
 }
 
-async fn take_over<S: Store>(
+async fn take_over_keys<S: Store>(
     context: &Arc<Context<S>>,
     service: String,
     holder: Holder,
     ended: Incarnation,
 ) {
-    let Some(table) = read(context, &service, &holder, ended).await else { return };
+    let Some(table) = read_table(context, &service, &holder, ended).await else { return };
     let count = table.len();
     let Holder { agent, .. } = &holder;
     tracing::info!(event = "key_table_read", service, agent, ended, count);
@@ -63,7 +65,7 @@
 }
 
 /// Reads the whole table of a holder. `None` when it cannot be reached or has restarted.
-async fn read<S: Store>(
+async fn read_table<S: Store>(
     context: &Arc<Context<S>>,
     service: &str,
     holder: &Holder,
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -24,7 +24,7 @@
 
 #[derive(Debug)]
 struct PendingAnnounce {
-    at: Time,
+    received: Time,
     announce: Announce,
     homes: BTreeSet<EntryId>,
 }
@@ -37,14 +37,21 @@
 
 impl RelayQueue {
     /// Adds an announcement that arrived first-hand, if `own` is one of those that pass it on.
-    pub fn add(&mut self, own: &EntryId, at: Time, announce: Announce, entries: &[EntryAddress]) {
+    pub fn add(
+        &mut self,
+        own: &EntryId,
+        received: Time,
+        announce: Announce,
+        entries: &[EntryAddress],
+    ) {
         if entries.len() <= HOME_ENTRIES {
             return;
         }
         let homes = homes::homes(&announce.agent, &announce.data_centre, entries);
         if homes::is_relaying(own, &homes) {
             let homes = homes.into_iter().map(|home| home.entry.clone()).collect();
-            self.queued.insert(announce.agent.clone(), PendingAnnounce { at, announce, homes });
+            self.queued
+                .insert(announce.agent.clone(), PendingAnnounce { received, announce, homes });
         }
     }
 
@@ -78,8 +85,9 @@
         pending.iter().filter(|pending| !pending.homes.contains(&entry.entry)).collect();
     for page in missing.chunks(MAX_PAGE_LEN) {
         let now = runtime::now();
-        let pair =
-            |pending: &&PendingAnnounce| (pending.announce.clone(), now.saturating_sub(pending.at));
+        let pair = |pending: &&PendingAnnounce| {
+            (pending.announce.clone(), now.saturating_sub(pending.received))
+        };
         let relay = Relay { announcements: page.iter().map(pair).collect() };
         let sent: Result<(), _> =
             context.peers.call(&entry.address, "relay", &relay, RELAY_TIMEOUT).await;
--- a/crates/entry/src/reply.rs
+++ b/crates/entry/src/reply.rs
@@ -63,7 +63,7 @@
         RefuseReason::Quota => StatusCode::TOO_MANY_REQUESTS,
         _ => StatusCode::SERVICE_UNAVAILABLE,
     };
-    let mut response = refused(status, format!("not run: {}", describe(reason)));
+    let mut response = refused(status, format!("not run: {}", describe_reason(reason)));
     // Whole seconds; zero would invite an immediate retry.
     let seconds = retry_after.as_millis().div_ceil(1_000).max(1) as u64;
     response.headers_mut().insert(RETRY_AFTER, HeaderValue::from(seconds));
@@ -89,7 +89,7 @@
 }
 
 /// Describes why a request was not run.
-pub fn describe(reason: RefuseReason) -> &'static str {
+pub fn describe_reason(reason: RefuseReason) -> &'static str {
     match reason {
         RefuseReason::Overloaded => "overloaded",
         RefuseReason::Leaving => "the upstream is leaving",
