--- a/crates/entry/src/auth.rs
+++ b/crates/entry/src/auth.rs
@@ -1,28 +1,30 @@
-//! Credentials of callers and operators.
+//! Authentication of callers and operators by bearer token.
 
 use http::HeaderMap;
 use peridotfold_core::config::Document;
 use peridotfold_core::id::TeamId;
 use sha2::{Digest, Sha256};
 
-/// Who sends a request.
+/// The authenticated sender of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Identity {
-    /// No credential.
+    /// The request has no `Authorization` header.
     Anonymous,
-    /// A credential that nobody has.
+    /// The credential is malformed or matches no team and not the operators.
     Rejected,
+    /// The token is that of the team.
     Team(TeamId),
+    /// The token is that of the operators.
     Operator,
 }
 
-/// Finds the owner of the request's bearer token.
+/// Identifies the sender of a request by the SHA-256 digest of its bearer token.
 pub fn identify(headers: &HeaderMap, document: &Document, operator_digest: &str) -> Identity {
     let Some(value) = headers.get(http::header::AUTHORIZATION) else {
         return Identity::Anonymous;
     };
     let Some(token) = bearer_token(value.as_bytes()) else { return Identity::Rejected };
-    // Digests are compared, so that the time of the comparison tells nothing about a token.
+    // Compares digests, so that the time of the comparison reveals nothing about a token.
     let digest = hex(&Sha256::digest(token));
     if digest == operator_digest {
         return Identity::Operator;
--- a/crates/entry/src/cells.rs
+++ b/crates/entry/src/cells.rs
@@ -1,8 +1,12 @@
-//! Ownership of cells: takes over cells without a live owner, keeps their journals, and answers
-//! the reports of agents and the job operations of callers.
+//! Ownership of batch cells by this entry.
 //!
-//! Lock order: the placement of cells, the table of owned cells, the table of known owners, then one
-//! owned cell's state. No lock is held across an await.
+//! A cell is a set of workers with the jobs assigned to it. One entry at a time owns a cell, as
+//! recorded in the store; each ownership period has a higher epoch. An entry takes over cells
+//! without a live owner, writes their journals, and answers the reports of agents and the job
+//! operations of callers.
+//!
+//! Lock order: `placement`, `owned_cells`, `owner_cache`, then the state of one owned cell. No lock
+//! is held across an await.
 
 mod claim;
 mod jobs;
@@ -32,23 +36,25 @@
 use self::record::CachedRecord;
 use crate::settings::Settings;
 
-/// Time between two looks at the configured cells.
+/// Time between two scans of the configured cells.
 const SCAN_INTERVAL: Duration = Duration::from_millis(500);
-/// Time since the last heartbeat after which job operations are refused at once. Two heartbeats.
+/// Time since the last successful heartbeat after which submissions and cancellations are refused
+/// at once. Two heartbeat intervals.
 const STORE_DOWN_AFTER: Duration = Duration::from_secs(4);
 
-/// Longest wait at shutdown for a takeover under way, so that it can be handed back as well.
+/// Longest wait at shutdown for running takeovers, so that their cells can be released as well.
 const TAKEOVER_LIMIT: Duration = Duration::from_secs(3);
+/// Time between two checks at shutdown for running takeovers.
 const TAKEOVER_POLL: Duration = Duration::from_millis(25);
 
-/// Why a message about a cell was not handled here.
+/// Reason why a message about a cell was not handled by this entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CellError {
-    /// The owner, if it is known and is not this entry.
+    /// This entry does not own the cell. Holds the owner, if another entry is known to be it.
     NotOwner(Option<CellOwner>),
 }
 
-/// A worker, for operators.
+/// A worker and its cell, as shown to operators.
 #[derive(Debug, Clone, Serialize)]
 pub struct WorkerView {
     pub cell: CellId,
@@ -56,7 +62,7 @@
     pub worker: CellWorkerView,
 }
 
-/// The cells as one entry sees them.
+/// The cells that one entry owns, and its cached records of the owners of other cells.
 #[derive(Debug)]
 pub struct Cells<S: Store> {
     shared: Arc<Shared<S>>,
@@ -76,20 +82,22 @@
     address: String,
     outage_hold: Duration,
     owned_cells: Mutex<BTreeMap<CellId, Arc<OwnedCell<S>>>>,
+    /// Owner record of each cell as last read from or written to the store.
     owner_cache: Mutex<BTreeMap<CellId, CachedRecord>>,
-    /// Cells that are being looked at or taken over.
+    /// Cells whose check, takeover or release is running.
     in_progress: Mutex<BTreeSet<CellId>>,
     placement: Mutex<claim::Placement>,
+    /// No heartbeat has succeeded for [`STORE_DOWN_AFTER`].
     store_down: AtomicBool,
     document: Mutex<Arc<Document>>,
-    /// Takeovers that have begun to write.
+    /// Number of takeovers that have started to write to the store.
     taking_over: AtomicUsize,
-    /// The entry stops: no more takeovers.
+    /// The entry is shutting down and starts no more takeovers.
     closing: AtomicBool,
 }
 
 impl<S: Store> Cells<S> {
-    /// Builds the view of an entry that owns nothing yet. `internal` is the address at which
+    /// Creates the state of an entry that owns no cell yet. `internal` is the address at which
     /// agents and other entries reach it.
     pub fn new(
         store: S,
@@ -115,9 +123,10 @@
         Cells { shared: Arc::new(shared) }
     }
 
-    /// Takes over cells and keeps them until the signal, then hands them back.
+    /// Takes over cells and owns them until the shutdown signal, then releases them.
     ///
-    /// `store_ok` tells how long ago the store last answered a heartbeat.
+    /// `documents` returns the configuration in effect, `alive` the live entries, and `store_ok`
+    /// the time since the store last accepted a heartbeat.
     pub async fn run(
         &self,
         documents: impl Fn() -> Arc<Document> + Send + Sync + 'static,
@@ -151,7 +160,7 @@
         }
     }
 
-    /// Passes the configuration on, and drops owned cells that have ended.
+    /// Passes the configuration to the owned cells, and drops those whose ownership has ended.
     fn update_owned(&self, document: &Arc<Document>) {
         let mut owned_cells = self.shared.owned_cells.lock();
         owned_cells.retain(|_, owned| !owned.has_ended());
@@ -159,7 +168,8 @@
         metrics::gauge!("cells_owned").set(owned_cells.len() as f64);
     }
 
-    /// Answers a report: at once when there are orders, otherwise after at most a second.
+    /// Answers the report of an agent: at once if there are orders for the agent, otherwise after at
+    /// most 1 s.
     ///
     /// # Errors
     ///
@@ -170,29 +180,29 @@
         owned.report(report).await.ok_or_else(|| self.not_owner(&cell))
     }
 
-    /// Performs a job operation.
+    /// Performs the job operation of a caller.
     ///
     /// # Errors
     ///
-    /// Fails when this entry does not own the cell; nothing was done.
+    /// Fails when this entry does not own the cell; the operation was not performed.
     pub async fn forward(&self, forward: Forward) -> Result<ForwardReply, CellError> {
         let owned = self.owned_cell(&forward.cell)?;
         let store_down = self.shared.store_down.load(Ordering::Relaxed);
         Ok(jobs::perform(&owned, &forward, store_down).await)
     }
 
-    /// Returns the owner of a cell, as owned here or last read from the store.
+    /// Returns the owner of a cell: this entry, or the owner as last read from the store.
     pub fn owner(&self, cell: &str) -> Option<CellOwner> {
         if let Some(owned) = self.shared.owned_cells.lock().get(cell).filter(|o| !o.has_ended()) {
             return Some(owned.owner());
         }
         let known = self.shared.owner_cache.lock();
         let record = &known.get(cell)?.record;
-        // A record of this entry without an owned cell is a former one.
+        // A record that names this entry without an owned cell is from a former ownership.
         (!record.released && record.entry != self.shared.entry).then(|| record.owner())
     }
 
-    /// Returns the workers of the cells owned here.
+    /// Returns the workers of the cells that this entry owns.
     pub fn workers(&self) -> Vec<WorkerView> {
         let owned_cells: Vec<_> = self.shared.owned_cells.lock().values().cloned().collect();
         owned_cells.iter().flat_map(|owned| owned.workers()).collect()
--- a/crates/entry/src/cells/claim.rs
+++ b/crates/entry/src/cells/claim.rs
@@ -1,4 +1,7 @@
-//! Taking over cells that have no live owner.
+//! Takeover of cells that have no live owner, and handover of cells to better placed entries.
+//!
+//! Live entries are ranked for each cell by data centre and rendezvous hash; the entry of rank 0 is
+//! the preferred owner.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::Ordering;
@@ -17,24 +20,25 @@
 use crate::cells::record::{journal_name, owner_key, CachedRecord, OwnerRecord, Replayed};
 use crate::cells::Shared;
 
-/// Time between two reads of the record of a live owner. With 64 cells and 36 entries this makes
-/// 290 reads/s of the store's 2,000.
+/// Time between two reads of an owner record whose owner is alive. With 64 cells and 36 entries,
+/// these are 290 reads/s of the store's 2,000.
 const RECORD_REFRESH: Duration = Duration::from_secs(8);
-/// The same for the entry that is best placed to own the cell: it may be handed back at any time.
+/// The same interval for the preferred owner, since the cell may be handed to it at any time.
 const PREFERRED_REFRESH: Duration = Duration::from_secs(1);
-/// Time for which a better placed entry has to be alive before a cell is handed to it. Longer than
-/// the 6 s in which a dead entry is noticed.
+/// Time for which a better placed entry must be alive before a cell is handed to it. Longer than
+/// the 6 s after which an entry without heartbeats is dead.
 const HAND_OVER_DELAY: Duration = Duration::from_secs(10);
-/// Pause between two cells that are handed over, so that most of the work goes on undisturbed.
+/// Pause between the handovers of two cells, so that most cells keep working.
 const HAND_OVER_PAUSE: Duration = Duration::from_secs(2);
-/// Time in which the better placed entry has to take over a cell that was handed to it.
+/// Time after a handover for which the former owner leaves the cell to better placed entries.
 const HAND_OVER_LIMIT: Duration = Duration::from_secs(15);
-/// Time that each better placed entry gets to take over a cell first.
+/// Delay of a takeover per better placed entry, which gets this time to take over first.
 const RANK_DELAY: Duration = Duration::from_secs(3);
-/// Replays of the journal in one takeover; each repetition means that the former owner wrote.
+/// Most replays of the journal in one takeover. A replay is repeated when the former owner has
+/// written meanwhile.
 const MAX_REPLAYS: usize = 5;
 
-/// Starts a look at each configured cell that is not owned here and is due for one.
+/// Starts a check of each configured cell that this entry does not own and whose check is due.
 pub(super) fn scan_cells<S: Store>(
     shared: &Arc<Shared<S>>,
     document: &Document,
@@ -63,11 +67,13 @@
     }
 }
 
-/// Tells whether the list of live entries is of use: without one, anyone would look dead.
+/// Tells whether the list of live entries contains this entry. Before the first successful list, it
+/// is empty and every owner would look dead.
 fn is_self_listed<S: Store>(shared: &Shared<S>, alive: &[EntryView]) -> bool {
     alive.iter().any(|view| view.incarnation == shared.incarnation)
 }
 
+/// Tells whether the owner record of a cell should be read now.
 fn is_due<S: Store>(shared: &Shared<S>, cell: &str, alive: &[EntryView], rank: u32) -> bool {
     let now = runtime::now();
     let handed_over = shared.placement.lock().handed_over.get(cell).copied();
@@ -81,15 +87,17 @@
     }
 }
 
-/// When cells were found to be better placed elsewhere, and handed over.
+/// Times of the handovers of cells to better placed entries.
 #[derive(Debug, Default)]
 pub(super) struct Placement {
+    /// Owned cells with a better placed live entry, and since when.
     misplaced: BTreeMap<CellId, Duration>,
+    /// Time of the last handover of each cell.
     handed_over: BTreeMap<CellId, Duration>,
 }
 
-/// Hands one cell to a better placed entry, if there is such a cell. Without this, the first entry
-/// that starts would keep all cells.
+/// Releases at most one cell that a better placed entry should own. Without handovers, the first
+/// entry that starts would keep all cells.
 pub(super) fn hand_over<S: Store>(
     shared: &Arc<Shared<S>>,
     document: &Document,
@@ -117,7 +125,8 @@
     let Some(cell) = placement.misplaced.iter().find(due).map(|(cell, _)| cell.clone()) else {
         return;
     };
-    // Busy until the release has ended, so that it is not taken for an unfinished takeover.
+    // In progress until the release has ended, so that the record is not mistaken for that of an
+    // unfinished takeover.
     if !shared.in_progress.lock().insert(cell.clone()) {
         return;
     }
@@ -134,15 +143,15 @@
     .detach();
 }
 
-/// Tells whether the recorded owner is alive and still the owner.
+/// Tells whether the recorded owner is alive and has not released the cell.
 fn has_live_owner(record: &OwnerRecord, alive: &[EntryView]) -> bool {
     let is_owner =
         |view: &EntryView| view.entry == record.entry && view.incarnation == record.incarnation;
     !record.released && alive.iter().any(is_owner)
 }
 
-/// Returns the number of live entries that are better placed to own a cell. Entries of the cell's
-/// data centre come first.
+/// Returns the number of live entries that are better placed to own a cell than this one. Entries
+/// in the cell's data centre come first.
 fn rank<S: Store>(
     shared: &Shared<S>,
     cell: &str,
@@ -167,7 +176,7 @@
     let Some((version, record)) = read_record(shared, cell, alive).await? else { return Ok(()) };
     if rank > 0 {
         runtime::sleep(RANK_DELAY * rank).await;
-        // Whoever was better placed has written by now, unless it is gone as well.
+        // A better placed entry has written the record by now, unless it has failed as well.
         let again = read_record(shared, cell, alive).await?;
         if again.as_ref().map(|(version, _)| *version) != Some(version) {
             return Ok(());
@@ -180,6 +189,8 @@
     result
 }
 
+/// Writes the owner record and takes the cell over, unless the entry is shutting down or another
+/// entry was faster.
 async fn claim<S: Store>(
     shared: &Arc<Shared<S>>,
     cell: &CellId,
@@ -193,9 +204,11 @@
     take_over(shared, cell, epoch).await
 }
 
+/// The version and content of the owner record of a cell without a live owner.
 type Vacancy = (u64, Option<OwnerRecord>);
 
-/// Reads the record; `None` when the owner is still the owner of record.
+/// Reads the owner record. Returns `None` when the recorded owner is alive or the record is
+/// malformed.
 async fn read_record<S: Store>(
     shared: &Shared<S>,
     cell: &CellId,
@@ -209,7 +222,7 @@
     };
     let known = CachedRecord { record: record.clone(), read_at: runtime::now() };
     shared.owner_cache.lock().insert(cell.clone(), known);
-    // An own record without an owned cell: a takeover that did not come to its end.
+    // A record of this process for a cell that it does not own is from an unfinished takeover.
     let is_own = record.incarnation == shared.incarnation && record.entry == shared.entry;
     match is_own || !has_live_owner(&record, alive) {
         true => Ok(Some((found.version, Some(record)))),
@@ -217,8 +230,8 @@
     }
 }
 
-/// Records this entry as the owner. Tells whether that succeeded; after a lost response the next
-/// look finds the record and takes over with a further epoch.
+/// Writes this entry into the owner record. Tells whether that succeeded; after a lost response,
+/// the next check finds the record and takes over with a higher epoch.
 async fn write_record<S: Store>(
     shared: &Shared<S>,
     cell: &CellId,
@@ -243,7 +256,7 @@
     }
 }
 
-/// Replays the journal, fences off the former owner and begins to own the cell.
+/// Replays the journal, fences off the former owner and starts to own the cell.
 async fn take_over<S: Store>(
     shared: &Arc<Shared<S>>,
     cell: &CellId,
@@ -255,8 +268,8 @@
     for _ in 0..MAX_REPLAYS {
         let mut journal: Journal<S, Replayed> =
             Journal::open(shared.store.clone(), &name, writer).await?;
-        // Taken after the replay: a former owner whose write is part of it was the owner until
-        // then, and a later write of it makes the append below fail.
+        // Read after the replay: the former owner may have held the cell until its last replayed
+        // write, and any later write of it makes the append below fail.
         let now = runtime::now();
         let state = journal.state().0.clone();
         if state.epoch >= epoch {
@@ -281,8 +294,8 @@
     Err(JournalError::Fenced)
 }
 
-/// Writes a record with a higher epoch, for the next look. Needed only when the owner record was
-/// lost while the journal was kept.
+/// Writes an owner record with a higher epoch, with which the next check takes over. Needed only
+/// when the owner record was lost but not the journal.
 async fn raise_epoch<S: Store>(
     shared: &Arc<Shared<S>>,
     cell: &CellId,
@@ -293,7 +306,7 @@
     Ok(())
 }
 
-/// A failed call of the store, as part of a takeover.
+/// A store error during a takeover, convertible into a journal error.
 struct StoreFailure(StoreError);
 
 impl From<StoreFailure> for JournalError {
--- a/crates/entry/src/cells/jobs.rs
+++ b/crates/entry/src/cells/jobs.rs
@@ -1,4 +1,4 @@
-//! Job operations of callers, as JSON.
+//! Job operations of callers on an owned cell, with JSON bodies.
 
 use std::time::Duration;
 
@@ -16,10 +16,10 @@
 
 use crate::cells::owned::OwnedCell;
 
-/// Longest wait for a commit. Below the time that the forwarding entry waits.
+/// Longest wait for a commit. Below the 5 s that the forwarding entry waits.
 const COMMIT_WAIT: Duration = Duration::from_secs(4);
 
-/// Body of a submission.
+/// Body of a job submission.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Submission {
@@ -32,7 +32,7 @@
     #[serde(default)]
     #[allow(dead_code)] // Read by the entry that chose the cell.
     cell: Option<String>,
-    /// Used only with the operators' credential; others submit for their own team.
+    /// Read only from operators; a team submits its own jobs.
     #[serde(default)]
     team: Option<TeamId>,
 }
@@ -142,7 +142,7 @@
     }
 }
 
-/// Waits for the commit; tells whether it came.
+/// Waits for a commit. Tells whether it arrived within [`COMMIT_WAIT`].
 async fn wait_committed(durable: Receiver<()>) -> bool {
     let committed = async { durable.recv().await.is_ok() };
     let timed_out = async {
@@ -152,7 +152,7 @@
     future::or(committed, timed_out).await
 }
 
-/// Text is passed to the worker as it is, anything else as JSON.
+/// Encodes a command for the worker: text unchanged, any other value as JSON.
 fn command(value: Value) -> Bytes {
     match value {
         Value::Null => Bytes::new(),
@@ -177,6 +177,6 @@
 }
 
 fn reply(status: u16, body: &impl Serialize) -> ForwardReply {
-    // Views and JSON values always encode.
+    // Encoding of job views and JSON values cannot fail.
     ForwardReply { status, body: serde_json::to_vec(body).unwrap_or_default().into() }
 }
--- a/crates/entry/src/cells/owned.rs
+++ b/crates/entry/src/cells/owned.rs
@@ -1,4 +1,5 @@
-//! One owned cell: commits, lease checks and held reports.
+//! One cell that this entry owns: commits to its journal, checks of its owner record, and reports
+//! that wait for orders.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -19,45 +20,50 @@
 use crate::cells::record::{owner_key, OwnerRecord, Replayed};
 use crate::cells::{Shared, WorkerView};
 
-/// Longest time for which a report without orders is held.
+/// Longest time for which the answer to a report waits for orders. Also the longest time between
+/// two checks for uncommitted events.
 const REPORT_HOLD: Duration = Duration::from_secs(1);
-/// Time between two placements, and between two looks at an idle cell.
+/// Time between two polls of the cell's state machine, which places tasks and checks leases. Also
+/// the time between two checks for pending events at a release.
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
 /// Shortest time between two commits.
 const COMMIT_INTERVAL: Duration = Duration::from_millis(250);
-/// Sustained commits in a second.
+/// Sustained rate of commits, in commits per second.
 const COMMIT_RATE: f64 = 2.0;
-/// Pause after a commit that the store did not answer.
+/// Pause after a failed commit.
 const COMMIT_RETRY: Duration = Duration::from_millis(500);
 /// Time between two checks of the owner record.
 const OWNER_CHECK_INTERVAL: Duration = Duration::from_secs(2);
-/// Longest time for the last commits and the release at shutdown.
+/// Longest wait for the last commits of a cell that is being released.
 const RELEASE_LIMIT: Duration = Duration::from_secs(5);
 
-/// What the tasks and calls of an owned share.
+/// State of an owned cell that its tasks and callers share.
 #[derive(Debug)]
 pub(super) struct State {
     pub cell: Cell,
+    /// Signals of calls that wait for a commit, by ticket.
     pub tickets: HashMap<Ticket, Sender<()>>,
+    /// The most recently issued ticket.
     pub last_ticket: Ticket,
     held_reports: HashMap<AgentId, Sender<()>>,
     document: Option<Arc<Document>>,
 }
 
-/// An owned cell.
+/// A cell that this entry owns, until `ended` is set.
 #[derive(Debug)]
 pub(super) struct OwnedCell<S: Store> {
     pub id: CellId,
     shared: Arc<Shared<S>>,
     epoch: Epoch,
     state: Mutex<State>,
+    /// The ownership was lost or released.
     ended: AtomicBool,
-    /// Wakes the committing task.
+    /// Wakes the task that commits.
     commit_signal: Sender<()>,
 }
 
 impl<S: Store> OwnedCell<S> {
-    /// Starts the tasks of a cell that was taken over.
+    /// Creates a cell that was taken over and starts its tasks.
     pub fn open(
         shared: &Arc<Shared<S>>,
         id: CellId,
@@ -89,10 +95,12 @@
         owned
     }
 
+    /// Tells whether the ownership was lost or released.
     pub fn has_ended(&self) -> bool {
         self.ended.load(Ordering::Acquire)
     }
 
+    /// Returns this entry as the owner of the cell.
     pub fn owner(&self) -> CellOwner {
         CellOwner {
             entry: self.shared.entry.clone(),
@@ -101,11 +109,13 @@
         }
     }
 
+    /// Returns the cell's workers for operators.
     pub fn workers(&self) -> Vec<WorkerView> {
         let views = self.state.lock().cell.worker_views(runtime::now());
         views.into_iter().map(|worker| WorkerView { cell: self.id.clone(), worker }).collect()
     }
 
+    /// Applies the limits of a configuration, if it is a new one.
     pub fn set_document(&self, document: &Arc<Document>) {
         let mut state = self.state.lock();
         if state.document.as_ref().is_some_and(|known| Arc::ptr_eq(known, document)) {
@@ -115,7 +125,8 @@
         state.document = Some(document.clone());
     }
 
-    /// Runs `change` on the state and wakes the commit for what it proposed.
+    /// Runs `change` on the state, delivers the resulting effects, and wakes the commit task if there
+    /// are uncommitted events.
     pub fn with_state<T>(&self, change: impl FnOnce(&mut State) -> T) -> T {
         let mut state = self.state.lock();
         let result = change(&mut state);
@@ -126,7 +137,7 @@
         result
     }
 
-    /// Takes in a report and answers it; `None` when the cell is no longer owned here.
+    /// Processes a report and returns the answer, or `None` when this entry no longer owns the cell.
     pub async fn report(self: &Arc<Self>, report: Report) -> Option<Orders> {
         let now = runtime::now();
         let received = self.with_state(|state| state.cell.report(now, &report));
@@ -151,7 +162,7 @@
                 runtime::sleep(left).await;
                 false
             };
-            // Not woken: overtaken by a newer report, or the time is up.
+            // Not woken: a newer report has replaced this one, or the time is up.
             if !future::or(waited, timed_out).await {
                 break;
             }
@@ -162,7 +173,7 @@
         self.with_state(answer)
     }
 
-    /// Registers a wait for orders; `None` when there are some.
+    /// Registers a report's wait for orders. Returns `None` when there are orders already.
     fn register_wait(&self, agent: &AgentId) -> Option<Receiver<()>> {
         let mut state = self.state.lock();
         if state.cell.has_orders(runtime::now(), agent) {
@@ -173,7 +184,7 @@
         Some(receiver)
     }
 
-    /// Places and checks leases until the owned ends.
+    /// Polls the cell, which places tasks and checks leases, until the ownership ends.
     async fn poll_loop(self: Arc<Self>) {
         while !self.has_ended() {
             let now = runtime::now();
@@ -182,7 +193,8 @@
         }
     }
 
-    /// Commits until the owned ends: at once when idle, otherwise in groups.
+    /// Commits proposed events until the ownership ends: at once when idle, otherwise in batches at
+    /// [`COMMIT_RATE`].
     async fn commit_loop(
         self: Arc<Self>,
         mut journal: Journal<S, Replayed>,
@@ -215,7 +227,7 @@
         }
     }
 
-    /// Writes one batch. Tells whether it is durable.
+    /// Appends one batch to the journal. Tells whether the batch is durable.
     async fn commit(&self, journal: &mut Journal<S, Replayed>, events: Vec<Event>) -> bool {
         let start = runtime::now();
         let result = journal.append(events.clone()).await;
@@ -243,8 +255,8 @@
         }
     }
 
-    /// Checks the owner record until the owned ends. This also bounds the time for which an owner
-    /// without commits can go on after a successor has taken over.
+    /// Checks the owner record until the ownership ends. This bounds the time for which an owner
+    /// without commits can continue after a successor has taken over.
     async fn check_owner(self: Arc<Self>) {
         while !self.has_ended() {
             let start = runtime::now();
@@ -265,12 +277,14 @@
         }
     }
 
+    /// Tells whether a record names this ownership period.
     fn is_own(&self, record: &OwnerRecord) -> bool {
         record.entry == self.shared.entry
             && record.incarnation == self.shared.incarnation
             && record.epoch == self.epoch
     }
 
+    /// Updates the metrics of queued and running tasks.
     fn update_gauges(&self) {
         let (mut queued, mut running) = (0, 0);
         for job in self.state.lock().cell.state().jobs.values() {
@@ -281,7 +295,7 @@
         metrics::gauge!("cell_tasks_running", "cell" => self.id.clone()).set(running as f64);
     }
 
-    /// Leaves owned: another owner may be in it.
+    /// Ends the ownership without a release, since another entry may own the cell.
     fn lose(&self, reason: &str) {
         if self.ended.swap(true, Ordering::AcqRel) {
             return;
@@ -293,7 +307,8 @@
         tracing::warn!(event = "cell_lost", cell = self.id, epoch = self.epoch, reason);
     }
 
-    /// Hands the cell back: stops granting, commits what is left, then marks the record.
+    /// Releases the cell: stops leases and starts, commits the pending events, then marks the owner
+    /// record as released.
     pub async fn release(self: Arc<Self>) {
         let deadline = runtime::now() + RELEASE_LIMIT;
         self.with_state(|state| {
@@ -316,6 +331,7 @@
         self.state.lock().tickets.clear();
     }
 
+    /// Sets `released` in the owner record. Tells whether that succeeded.
     async fn mark_released(&self) -> bool {
         let key = owner_key(&self.id);
         let Ok(Some(found)) = self.shared.store.get(&key).await else { return false };
@@ -339,7 +355,7 @@
 }
 
 impl State {
-    /// Returns a ticket, and the signal that it has become durable.
+    /// Issues a ticket for a change, with the receiver of its signal after the commit.
     pub fn ticket(&mut self) -> (Ticket, Receiver<()>) {
         let (sender, receiver) = async_channel::bounded(1);
         self.last_ticket += 1;
@@ -347,6 +363,7 @@
         (self.last_ticket, receiver)
     }
 
+    /// Signals the calls whose commit is durable and the reports that have orders.
     fn deliver_effects(&mut self) {
         for effect in self.cell.take_effects() {
             match effect {
--- a/crates/entry/src/cells/record.rs
+++ b/crates/entry/src/cells/record.rs
@@ -1,4 +1,4 @@
-//! The record `cell/<name>/owner` in the store.
+//! The owner record of a cell in the store, under the key `cell/<name>/owner`.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use peridotfold_store::{Replay, Versioned};
 use serde::{Deserialize, Serialize};
 
-/// Who owns a cell.
+/// The owner of a cell.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OwnerRecord {
     pub entry: EntryId,
@@ -17,18 +17,20 @@
     /// Address for messages between processes, as IP and port.
     pub address: String,
     pub epoch: Epoch,
-    /// The owner has handed the cell back.
+    /// The owner has released the cell.
     pub released: bool,
 }
 
 impl OwnerRecord {
+    /// Returns the owner for agents and other entries.
     pub fn owner(&self) -> CellOwner {
         let OwnerRecord { entry, address, epoch, .. } = self.clone();
         CellOwner { entry, address, epoch }
     }
 
+    /// Encodes the record as JSON.
     pub fn encode(&self) -> Bytes {
-        // A struct of strings and numbers always encodes.
+        // Encoding of strings, numbers and booleans cannot fail.
         serde_json::to_vec(self).unwrap_or_default().into()
     }
 
@@ -38,19 +40,20 @@
     }
 }
 
-/// An owner record as last read.
+/// An owner record as last read or written.
 #[derive(Debug, Clone)]
 pub struct CachedRecord {
     pub record: OwnerRecord,
+    /// Time of the read or write, since the start of the process.
     pub read_at: Duration,
 }
 
-/// Key of the owner record.
+/// Returns the key of a cell's owner record.
 pub fn owner_key(cell: &str) -> String {
     format!("cell/{cell}/owner")
 }
 
-/// Name of the journal.
+/// Returns the name of a cell's journal.
 pub fn journal_name(cell: &str) -> String {
     format!("cell/{cell}")
 }
--- a/crates/entry/src/config.rs
+++ b/crates/entry/src/config.rs
@@ -13,21 +13,24 @@
 
 use crate::context::Context;
 
-/// Wait of one watch call. Each call counts against the store's limit on reads. A watch on a
-/// connection that died silently ends after this time and the time limit of a call, which has to be
+/// Duration of one watch call. Each call counts against the store's limit on reads. A watch on a
+/// connection that failed silently ends after this time plus the timeout of a call; the sum must be
 /// within the 7 s in which a version has to be in effect.
 const WATCH_WAIT: Duration = Duration::from_secs(4);
-/// Pause after a failed call of the store. With the watch and the agents' announcements it stays
-/// within the 7 s in which a version has to be in effect.
+/// Pause after a failed store call, and between two checks of announced versions. Together with the
+/// watch and the agents' announcements, it stays within the 7 s in which a version has to be in
+/// effect.
 const RETRY_PAUSE: Duration = Duration::from_secs(1);
+/// Timeout of a configuration request to an agent or another entry.
 const PEER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Follows the configuration until the signal.
+/// Keeps the configuration up to date until the shutdown signal.
 pub async fn run<S: Store>(context: Arc<Context<S>>, shutdown: Shutdown) {
     let followed = future::or(follow_store(&context), follow_agents(&context));
     future::or(followed, shutdown.wait()).await;
 }
 
+/// Opens the repository, then installs each new version from the store.
 async fn follow_store<S: Store>(context: &Arc<Context<S>>) {
     let repository = loop {
         match ConfigRepository::open(context.store.clone(), context.incarnation).await {
@@ -45,14 +48,14 @@
     }
 }
 
-/// Puts the repository's version into effect.
+/// Puts the repository's current version into effect.
 pub fn adopt<S: Store>(context: &Context<S>, repository: &ConfigRepository<S>) {
     let version = context.current().map_or(0, |current| current.version);
     context.install("store", &repository.update_since(version));
 }
 
-/// Asks an agent and the other entries when the agent has announced a higher version: the store, or
-/// the way to it, may be at fault here only, and an entry may know no others.
+/// Requests the configuration from an agent that has announced a higher version, and from the other
+/// entries. Only this entry may have lost contact with the store, and it may know no other entries.
 async fn follow_agents<S: Store>(context: &Arc<Context<S>>) {
     loop {
         runtime::sleep(RETRY_PAUSE).await;
@@ -64,13 +67,14 @@
     }
 }
 
+/// Logs a store failure, asks the other entries for the configuration, and pauses.
 async fn handle_store_failure<S: Store>(context: &Arc<Context<S>>, error: &JournalError) {
     tracing::warn!(event = "config_store_failed", %error);
     ask_entries(context).await;
     runtime::sleep(RETRY_PAUSE).await;
 }
 
-/// Asks all other entries at the same time; the highest version of the answers takes effect.
+/// Requests the configuration from all other entries concurrently; the highest version takes effect.
 async fn ask_entries<S: Store>(context: &Arc<Context<S>>) {
     let version = context.current().map_or(0, |current| current.version);
     let known = context.alive().into_iter().map(|view| view.address);
@@ -86,6 +90,7 @@
     }
 }
 
+/// Requests a configuration newer than `version` from one process and installs it.
 async fn request_config<S: Store>(
     context: Arc<Context<S>>,
     address: String,
--- a/crates/entry/src/context.rs
+++ b/crates/entry/src/context.rs
@@ -1,4 +1,4 @@
-//! State that the parts of an entry share.
+//! State shared by the tasks of an entry.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -23,18 +23,18 @@
 use crate::relay::RelayQueue;
 use crate::settings::Settings;
 
-/// A version of the configuration.
+/// The configuration in effect and its version.
 #[derive(Debug, Clone)]
 pub struct CurrentConfig {
     pub version: ConfigVersion,
     pub document: Arc<Document>,
 }
 
-/// State of an entry.
+/// Shared state of an entry.
 ///
-/// Locks are taken in the order of the fields: `config`, `repository`, `upstreams`, `budget`,
-/// `keys`, `members`, `relays`, `heard`. No lock is held across an await, but for `fetched`, which is taken
-/// before the others.
+/// Lock order is the order of the fields: `config`, `repository`, `upstreams`, `budget`, `keys`,
+/// `members`, `relays`, `announced`. No lock is held across an await except `lists_fetched`, which
+/// is taken before the others.
 pub struct Context<S: Store> {
     pub settings: Settings,
     pub incarnation: Incarnation,
@@ -44,7 +44,7 @@
     pub store: S,
     pub peers: Arc<Peers>,
     pub cells: Cells<S>,
-    /// `None` until a version was read from the store or from another entry.
+    /// `None` until a version was received from the store, an agent or another entry.
     config: RwLock<Option<ConfigState>>,
     pub repository: RwLock<Option<Arc<ConfigRepository<S>>>>,
     pub upstreams: Mutex<UpstreamTable>,
@@ -54,22 +54,22 @@
     pub relays: Mutex<RelayQueue>,
     /// Highest configuration version that an agent has announced, and the agent's address.
     announced: Mutex<(ConfigVersion, String)>,
-    /// Time of the last heartbeat that the store took, in milliseconds since the start.
+    /// Time of the last heartbeat that the store accepted, in milliseconds since the process start.
     last_contact: AtomicU64,
-    /// When the lists of moves were last fetched; held while they are.
+    /// Time of the last fetch of the key lists of moves. Locked during a fetch.
     pub lists_fetched: smol::lock::Mutex<Option<Time>>,
-    /// Asks for a round of heartbeat and key maps before the next one is due.
+    /// Requests a heartbeat round before the next one is due.
     pub early_round: (async_channel::Sender<()>, async_channel::Receiver<()>),
-    /// Asks for what is lacking of the lists of moves before the next try is due.
+    /// Requests a fetch of missing key lists before the next try is due.
     pub early_fetch: (async_channel::Sender<()>, async_channel::Receiver<()>),
     request_counter: AtomicU64,
     stopping: AtomicBool,
-    /// Given when endless responses have to end, some time after the start of a shutdown.
+    /// Fires when responses of unknown length must end, some time after the start of a shutdown.
     pub drained: Shutdown,
 }
 
 impl<S: Store> Context<S> {
-    /// Builds the state of an entry that knows nothing yet.
+    /// Creates the state of an entry before its first contact with the store and other processes.
     pub fn new(
         settings: Settings,
         http: SocketAddr,
@@ -112,17 +112,18 @@
         Some(CurrentConfig { version: state.version, document: state.document.clone() })
     }
 
-    /// Returns the document in effect, or the empty one.
+    /// Returns the configuration document in effect, or the empty one.
     pub fn document(&self) -> Arc<Document> {
         self.current().map(|current| current.document).unwrap_or_default()
     }
 
-    /// Returns what a process at `version` lacks, or `None` while this entry knows no version.
+    /// Returns the update for a process that has `version`, or `None` while this entry has no
+    /// configuration.
     pub fn update_since(&self, version: ConfigVersion) -> Option<ConfigUpdate> {
         self.config.read().as_ref().map(|state| state.update_since(version))
     }
 
-    /// Notes a version that an agent has announced.
+    /// Records a configuration version that the agent at `address` has announced.
     pub fn note_version(&self, version: ConfigVersion, address: &str) {
         let mut announced = self.announced.lock();
         if version > announced.0 {
@@ -130,14 +131,14 @@
         }
     }
 
-    /// Returns the address of an agent that has announced a version above `version`.
+    /// Returns the address of an agent that has announced a configuration version above `version`.
     pub fn agent_above(&self, version: ConfigVersion) -> Option<String> {
         let announced = self.announced.lock();
         (announced.0 > version).then(|| announced.1.clone())
     }
 
-    /// Puts an update into effect. Versions that are not higher than the one in effect change
-    /// nothing.
+    /// Puts a configuration update into effect. `peer` is its source, for the log. Versions that are
+    /// not higher than the one in effect are ignored.
     pub fn install(&self, peer: &str, update: &ConfigUpdate) {
         let mut config = self.config.write();
         let state = config.get_or_insert_with(ConfigState::default);
@@ -152,14 +153,14 @@
         }
     }
 
-    /// Returns the entries that are alive, this one included; none before the first successful
-    /// list. Agents keep the entries that they know when they are told none, and no cell is taken
-    /// over from an owner that was only not listed yet.
+    /// Returns the live entries including this one, or none before the first successful list. An
+    /// empty list is safe: agents keep the entries that they know, and no cell is taken over from an
+    /// owner that merely was not listed yet.
     pub fn alive(&self) -> Vec<EntryView> {
         self.members.lock().alive()
     }
 
-    /// Returns the addresses of the entries that are alive.
+    /// Returns the addresses of the live entries, including this one.
     pub fn entry_addresses(&self) -> Vec<EntryAddress> {
         let address = |view: EntryView| EntryAddress {
             entry: view.entry,
@@ -169,23 +170,23 @@
         self.alive().into_iter().map(address).collect()
     }
 
-    /// Returns the time since the store last took a heartbeat.
+    /// Returns the time since the store last accepted a heartbeat.
     pub fn store_silence(&self) -> Duration {
         let last_contact = Duration::from_millis(self.last_contact.load(Ordering::Relaxed));
         runtime::now().saturating_sub(last_contact)
     }
 
-    /// Records a heartbeat that was sent at `at`.
+    /// Records that the store accepted a heartbeat sent at `at`.
     pub fn record_contact(&self, at: Duration) {
         self.last_contact.store(at.as_millis() as u64, Ordering::Relaxed);
     }
 
-    /// Asks for a round of heartbeat and key maps soon. A request that waits already is enough.
+    /// Requests an early heartbeat round. Has no effect if one is requested already.
     pub fn request_round(&self) {
         let _ = self.early_round.0.try_send(());
     }
 
-    /// Draws the identity of a dispatch.
+    /// Returns a new request ID for a dispatch.
     pub fn next_request(&self) -> RequestId {
         let number: RequestNumber = self.request_counter.fetch_add(1, Ordering::Relaxed);
         RequestId { entry: self.settings.id.clone(), incarnation: self.incarnation, number }
--- a/crates/entry/src/headers.rs
+++ b/crates/entry/src/headers.rs
@@ -1,18 +1,18 @@
-//! Headers that are passed on between callers and upstreams.
+//! Names of the entry's own HTTP headers, and forwarding of headers between callers and upstreams.
 
 use bytes::Bytes;
 use http::{HeaderMap, HeaderName, HeaderValue};
 
-/// Header with the time that a caller waits, in milliseconds.
+/// Request header with the caller's timeout, in milliseconds.
 pub const TIMEOUT: &str = "request-timeout-ms";
-/// Header with the key of a request that must run at most once.
+/// Request header with the idempotency key: requests with the same key run at most once.
 pub const KEY: &str = "idempotency-key";
-/// Header that names the outcome of a request that was not answered.
+/// Response header with the outcome of a request that got no answer: `not-run` or `unknown`.
 pub const OUTCOME: &str = "peridotfold-outcome";
-/// Header that names the caller's team to the upstream.
+/// Header that tells the upstream the caller's team.
 pub const TEAM: &str = "peridotfold-team";
 
-/// Headers of one connection only (RFC 9110, section 7.6.1).
+/// Headers that concern a single connection and are not forwarded (RFC 9110, section 7.6.1).
 const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -24,11 +24,11 @@
     "transfer-encoding",
     "upgrade",
 ];
-/// Request headers that are meant for the entry. The credential stays here: an upstream has no use
-/// for it.
+/// Request headers for the entry, which are not forwarded. An upstream has no use for the
+/// credential.
 const ENTRY_HEADERS: [&str; 5] = ["authorization", "expect", TEAM, TIMEOUT, crate::trace::HEADER];
 
-/// Returns the headers of a request for the upstream.
+/// Returns the request headers to forward to the upstream, with the caller's team.
 pub fn for_upstream(headers: &HeaderMap, team: Option<&str>) -> Vec<(Bytes, Bytes)> {
     let mut passed = end_to_end(headers, |name| !ENTRY_HEADERS.contains(&name));
     if let Some(team) = team {
@@ -37,7 +37,8 @@
     passed
 }
 
-/// Adds the headers of an upstream's answer to those for the caller. Malformed ones are dropped.
+/// Adds the headers of an upstream's answer to the caller's response. Drops malformed and
+/// connection-specific headers.
 pub fn add_upstream_headers(headers: &mut HeaderMap, answer: &[(Bytes, Bytes)]) {
     for (name, value) in answer {
         match (HeaderName::from_bytes(name), HeaderValue::from_bytes(value)) {
@@ -49,6 +50,7 @@
     }
 }
 
+/// Returns the headers that are not specific to the connection and that `is_forwarded` accepts.
 fn end_to_end(headers: &HeaderMap, is_forwarded: impl Fn(&str) -> bool) -> Vec<(Bytes, Bytes)> {
     let listed: Vec<String> = headers
         .get_all(http::header::CONNECTION)
--- a/crates/entry/src/http.rs
+++ b/crates/entry/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP towards callers and operators.
+//! HTTP interface for callers and operators.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 use crate::proxy::call::PREFIX;
 use crate::{jobs, operator, proxy, reply};
 
-/// Routes HTTP requests.
+/// Routes the HTTP requests of callers and operators to their handlers.
 pub struct Http<S: Store> {
     pub context: Arc<Context<S>>,
     pub metrics: PrometheusHandle,
@@ -43,6 +43,7 @@
 }
 
 impl<S: Store> Http<S> {
+    /// Returns the metrics of the process in the Prometheus text format.
     fn metrics(&self) -> Response<Body> {
         let now = peridotfold_wire::runtime::now();
         let upstreams = self.context.upstreams.lock().live_agents(now);
@@ -53,7 +54,7 @@
         reply::typed(StatusCode::OK, "text/plain; version=0.0.4", self.metrics.render())
     }
 
-    /// Tells the load balancer whether to send callers here.
+    /// Tells the load balancer whether this entry accepts requests.
     fn health(&self) -> Response<Body> {
         match (self.context.is_stopping(), self.context.current()) {
             (true, _) => reply::error(StatusCode::SERVICE_UNAVAILABLE, "shutting down"),
--- a/crates/entry/src/internal.rs
+++ b/crates/entry/src/internal.rs
@@ -1,4 +1,4 @@
-//! Messages of agents and of other entries.
+//! Internal interface: handles the messages of agents and other entries.
 
 use std::sync::Arc;
 
@@ -19,7 +19,7 @@
 use crate::cells::CellError;
 use crate::context::Context;
 
-/// Handles the messages.
+/// Handles each message by its kind.
 pub struct Internal<S: Store> {
     pub context: Arc<Context<S>>,
 }
@@ -80,6 +80,8 @@
 }
 
 impl<S: Store> Internal<S> {
+    /// Records an agent's announcement and queues it for relay. Returns `None` when a newer one is
+    /// known.
     fn announce(&self, announce: Announce) -> Option<AnnounceReply> {
         let context = &self.context;
         let (version, cell) = (announce.config_version, announce.cell.clone());
@@ -96,7 +98,7 @@
             }
             is_new
         };
-        // It may be the successor of a holder, whose buckets have to move.
+        // The agent may replace a holder of keys, whose buckets have to move.
         if is_new {
             context.request_round();
         }
@@ -115,6 +117,7 @@
 }
 
 impl<S: Store> Internal<S> {
+    /// Returns a page of the keys that this entry dispatched before a move.
     fn list_keys(&self, request: &KeyListRequest) -> KeyListReply {
         let now = runtime::now();
         let mut keys = self.context.keys.lock();
@@ -122,18 +125,20 @@
         if matches!(reply, KeyListReply::Page { more: false, .. }) {
             keys.note_copied(request);
         }
-        // The sender has adopted a move that this entry has not seen yet.
+        // The sender has adopted a move that this entry does not know yet.
         if keys.map(&request.service).is_none_or(|map| map.generation < request.generation) {
             self.context.request_round();
         }
-        // The sender's own list is final now. Without this, an entry that had asked for it too
-        // early waited up to 2 s for its next try, and the sender's death in between lost the list.
+        // The sender's own list is final now. Without the early fetch, an entry that had asked for
+        // it too early waited up to 2 s for its next try, and lost the list if the sender failed
+        // meanwhile.
         if keys.missing(now).iter().any(|missing| missing.generation == request.generation) {
             let _ = self.context.early_fetch.0.try_send(());
         }
         reply
     }
 
+    /// Records announcements that another entry relays, each with its age.
     fn take_relayed(&self, relay: Relay) {
         let now = runtime::now();
         let mut upstreams = self.context.upstreams.lock();
@@ -143,6 +148,7 @@
     }
 }
 
+/// Receives the first message of a stream.
 async fn first_message<T: DeserializeOwned>(receiver: &mut FrameReceiver) -> Result<T, WireError> {
     match receiver.next().await? {
         Some(message) => Ok(message),
@@ -150,7 +156,7 @@
     }
 }
 
-/// Tells who owns the cell, so that the sender's log names it.
+/// Describes the refusal of a message about a cell. Names the owner for the sender's log.
 fn refusal(error: &CellError) -> String {
     match error {
         CellError::NotOwner(Some(owner)) => {
--- a/crates/entry/src/jobs.rs
+++ b/crates/entry/src/jobs.rs
@@ -1,4 +1,4 @@
-//! Job operations, passed on to the owner of the job's cell.
+//! Job operations of callers, forwarded to the owner of the job's cell.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,22 +23,23 @@
 use crate::operator::{parameter, read_body};
 use crate::reply::{self, ErrorBody};
 
-/// Path of the jobs.
+/// HTTP path of the job operations.
 pub const PATH: &str = "/v1/jobs";
+/// Timeout of a job operation that is forwarded to another entry.
 const FORWARD_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Part of a submission that decides where it goes.
+/// The fields of a job submission that select the cell.
 #[derive(Deserialize)]
 struct Submission {
     id: String,
     cell: Option<CellId>,
 }
 
-/// Why an operation did not get a reply of the cell's owner.
+/// Reason why a job operation got no reply from the cell's owner.
 enum Failure {
-    /// Certainly not performed.
+    /// The operation was certainly not performed.
     NoOwner { error: String, peer: Option<String> },
-    /// The owner may have performed it.
+    /// The owner may have performed the operation.
     Unknown { error: String, peer: String },
 }
 
@@ -93,7 +94,8 @@
     document.cells.keys().cloned().collect()
 }
 
-/// Returns the cells in the order in which a job without a cell is assigned to them.
+/// Returns all cells, the preferred one for the job ID first. A job submitted without a cell goes
+/// to the first.
 fn ranked_cells(document: &Document, job: &str) -> Vec<CellId> {
     let mut cells = all_cells(document);
     let weight = |cell: &CellId| hash::rendezvous(job.as_bytes(), cell.as_bytes());
@@ -101,6 +103,7 @@
     cells
 }
 
+/// Returns the cell of a submission, or the response that rejects it.
 fn submission_cell(document: &Document, body: &Bytes) -> Result<CellId, Box<Response<Body>>> {
     let refuse = |status, error: String, field: Option<&str>| {
         let field = field.map(str::to_owned);
@@ -125,7 +128,7 @@
     }
 }
 
-/// Asks each cell until one knows the job.
+/// Tries the operation in one cell after the other until one knows the job.
 async fn find_job<S: Store>(
     context: &Arc<Context<S>>,
     forwards: impl Iterator<Item = Forward>,
@@ -145,7 +148,7 @@
     }
 }
 
-/// Asks all cells at the same time and joins their lists.
+/// Requests the job lists of the cells concurrently and joins them.
 async fn list_jobs<S: Store>(context: &Arc<Context<S>>, forwards: Vec<Forward>) -> Response<Body> {
     let tasks: Vec<_> = forwards
         .into_iter()
@@ -168,6 +171,7 @@
     reply::json(StatusCode::OK, &json!({"jobs": jobs, "missing_cells": missing}))
 }
 
+/// Returns the jobs of a cell's reply, or `None` if it is an error.
 fn parse_job_list(reply: &ForwardReply) -> Option<Vec<Value>> {
     if reply.status != StatusCode::OK.as_u16() {
         return None;
@@ -182,6 +186,7 @@
     }
 }
 
+/// Performs a job operation here or at the cell's owner.
 async fn perform<S: Store>(
     context: &Arc<Context<S>>,
     forward: Forward,
@@ -204,6 +209,7 @@
     }
 }
 
+/// Forwards a job operation to the entry that owns the cell.
 async fn forward_to<S: Store>(
     context: &Arc<Context<S>>,
     owner: &CellOwner,
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,4 +1,5 @@
-//! The entry process: routes requests, owns cells, serves the configuration.
+//! The entry process: routes callers' requests to agents, owns cells of batch workers, and serves
+//! the configuration.
 
 pub mod auth;
 pub mod cells;
@@ -37,14 +38,15 @@
 use crate::members::Heartbeats;
 use crate::settings::Settings;
 
-/// Time limit of one call of the store. Below the heartbeat interval, so that a slow store delays
-/// a round by no more than one interval.
+/// Timeout of one store call. Below the heartbeat interval, so that a slow store delays a heartbeat
+/// round by at most one interval.
 const STORE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Time after the start of a shutdown at which responses without a known length are ended at a
-/// chunk boundary. Without it, an entry with an endless feed could never be replaced.
+/// Time after the start of a shutdown at which responses of unknown length are ended at a chunk
+/// boundary. Without this limit, an endless response would block the shutdown forever.
 const DRAIN_GRACE: Duration = Duration::from_secs(30);
-/// Time allowed for open connections of other processes at the end of a shutdown.
+/// Longest wait at the end of a shutdown for the connections of agents and other entries.
 const CLOSE_LIMIT: Duration = Duration::from_secs(2);
+/// Time between two maintenance runs of the metrics recorder.
 const METRICS_UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Runs an entry until SIGTERM or SIGINT, then shuts it down without interrupting a request.
@@ -73,13 +75,15 @@
     }
 }
 
+/// Prints the bound addresses to standard output.
 fn announce_addresses(http: std::net::SocketAddr, internal: std::net::SocketAddr) {
     let mut out = std::io::stdout();
     let _ = writeln!(out, "listening http={http} internal={internal}");
     let _ = out.flush();
 }
 
-/// Runs an entry until the signal. `ready` is called with the addresses that are in use.
+/// Runs an entry until the shutdown signal. Calls `ready` with the bound HTTP and internal
+/// addresses.
 ///
 /// # Errors
 ///
@@ -100,8 +104,8 @@
     let (drain, drained) = shutdown::channel();
     let reached_at = settings.advertise.unwrap_or(internal.address());
     let context = Arc::new(Context::new(settings, http.address(), reached_at, store, drained));
-    // Each stage of the shutdown ends only after the one before it: requests need the cells,
-    // announcements and heartbeats to the end.
+    // The stages of the shutdown end one after the other, since requests need the cells,
+    // announcements and heartbeats until their end.
     let (requests, requests_end) = shutdown::channel();
     let (cells, cells_end) = shutdown::channel();
     let (rest, rest_end) = shutdown::channel();
@@ -132,7 +136,7 @@
     owning.await;
     rest.fire();
     beating.await.write_last().await;
-    // Connections to hosts that are gone never end.
+    // Connections to failed hosts never end.
     future::or(handling, runtime::sleep(CLOSE_LIMIT)).await;
     following.await;
     relaying.await;
@@ -143,6 +147,7 @@
     Ok(())
 }
 
+/// Takes over and owns cells until the shutdown signal.
 async fn own_cells<S: Store>(context: Arc<Context<S>>, shutdown: Shutdown) {
     let (documents, alive, silence) = (context.clone(), context.clone(), context.clone());
     let run = context.cells.run(
@@ -154,7 +159,7 @@
     run.await;
 }
 
-/// Returns the process's metrics. They are shared by all entries of a process, as in tests.
+/// Returns the metrics of the process. Several entries in one process, as in tests, share them.
 fn metrics_handle() -> PrometheusHandle {
     static HANDLE: OnceLock<PrometheusHandle> = OnceLock::new();
     let install = || {
@@ -168,6 +173,7 @@
     HANDLE.get_or_init(install).clone()
 }
 
+/// Maintains the metrics recorder until the shutdown signal.
 async fn upkeep(shutdown: Shutdown) {
     while !runtime::sleep_or_shutdown(METRICS_UPKEEP_INTERVAL, &shutdown).await {
         metrics_handle().run_upkeep();
