--- a/crates/entry/src/cells/owned.rs
+++ b/crates/entry/src/cells/owned.rs
@@ -45,6 +45,7 @@
     pub tickets: HashMap<Ticket, Sender<()>>,
     /// The most recently issued ticket.
     pub last_ticket: Ticket,
+    /// Signals of the reports that wait for orders, by agent.
     held_reports: HashMap<AgentId, Sender<()>>,
     document: Option<Arc<Document>>,
 }
--- a/crates/entry/src/lists.rs
+++ b/crates/entry/src/lists.rs
@@ -1,4 +1,7 @@
-//! Fetches the lists of keys that the witnesses of moves dispatched before them.
+//! Fetches the key lists of moves.
+//!
+//! A move reassigns buckets of idempotency keys to new holders. Its witnesses are the entries that
+//! may have dispatched keys to the old holder; a key list names the keys that one witness did.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -13,22 +16,25 @@
 
 use crate::context::Context;
 
-/// Time between two looks at what is lacking. Bounds how long a witness has to live after it has
-/// adopted a move.
+/// Shortest time between two fetches of missing key lists. Bounds how long a witness must stay alive
+/// after it has adopted a move.
 const RETRY_MIN: Duration = Duration::from_millis(100);
-/// Longest time between two tries. A list that nobody holds stays lacking for the retention.
+/// Longest time between two fetches. A list that no entry holds stays missing for the retention
+/// period of keys.
 const RETRY_MAX: Duration = Duration::from_secs(2);
-/// Time allowed for one page.
+/// Timeout of the request for one page of a key list.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(500);
 
+/// Reason for the end of a pause between fetches.
 enum Wake {
+    /// The pause is over.
     Due,
     /// Another entry has adopted a move.
     Early,
     Shutdown,
 }
 
-/// Fetches lists until the signal.
+/// Fetches missing key lists until the shutdown signal.
 pub async fn run<S: Store>(context: Arc<Context<S>>, shutdown: Shutdown) {
     let (mut pause, mut before) = (RETRY_MIN, Vec::new());
     loop {
@@ -52,7 +58,7 @@
         if !missing.is_empty() {
             future::or(fetch(&context), shutdown.wait()).await;
         }
-        // A witness is asked soon again until it has adopted the move.
+        // Retries soon while the set of missing lists changes, then with growing pauses.
         pause = match missing.is_empty() || missing != before {
             true => RETRY_MIN,
             false => (pause * 2).min(RETRY_MAX),
@@ -61,8 +67,8 @@
     }
 }
 
-/// Fetches what is lacking. Concurrent calls wait for each other; one that comes shortly after
-/// another only waits.
+/// Fetches the missing key lists. Concurrent calls run one after the other; a call less than
+/// [`RETRY_MIN`] after the end of another fetches nothing.
 pub async fn fetch<S: Store>(context: &Arc<Context<S>>) {
     let mut last: smol::lock::MutexGuard<'_, Option<Time>> = context.lists_fetched.lock().await;
     let now = runtime::now();
@@ -83,7 +89,7 @@
     *last = Some(runtime::now());
 }
 
-/// Fetches one list from its witness or from another entry that holds it.
+/// Fetches one key list from its witness, or from another entry with a copy.
 async fn fetch_one<S: Store>(context: &Arc<Context<S>>, request: KeyListRequest) {
     for address in sources(context, &request) {
         let Some(keys) = fetch_from(context, &address, request.clone()).await else { continue };
@@ -95,7 +101,7 @@
     }
 }
 
-/// Lists the addresses to ask, the witness itself first.
+/// Returns the addresses of the entries that may hold a key list, the witness first.
 fn sources<S: Store>(context: &Arc<Context<S>>, request: &KeyListRequest) -> Vec<String> {
     let members = context.members.lock();
     let witness = members.record(&request.entry);
@@ -107,6 +113,8 @@
     witness.into_iter().chain(others.map(|view| view.address)).collect()
 }
 
+/// Fetches all pages of a key list from one entry. Returns `None` if the entry does not hold the
+/// list or fails.
 async fn fetch_from<S: Store>(
     context: &Arc<Context<S>>,
     address: &str,
@@ -121,7 +129,7 @@
                 let last = whole.last().copied();
                 match more {
                     false => return Some(whole),
-                    // A page has to bring the list forward.
+                    // A page without new keys would be requested forever.
                     true if last == request.after => return None,
                     true => request.after = last,
                 }
--- a/crates/entry/src/members.rs
+++ b/crates/entry/src/members.rs
@@ -1,4 +1,7 @@
 //! Heartbeats of this entry, the list of entries, and the key maps.
+//!
+//! The key map of a service assigns each bucket of idempotency keys to a holder. A move reassigns
+//! buckets and has a generation; entries acknowledge a move in their heartbeat records.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -18,34 +21,37 @@
 
 use crate::context::Context;
 
+/// Prefix of the store keys of entry records.
 const ENTRIES: &str = "entries/";
+/// Prefix of the store keys of key maps.
 const KEY_MAPS: &str = "keymap/";
-/// Tries of the last heartbeat at shutdown.
+/// Attempts to write the last heartbeat at shutdown.
 const LAST_ATTEMPTS: usize = 3;
-/// Time between two looks at whether another entry has fetched this entry's list. The wait ends
-/// with `keys::COPY_LIMIT`.
+/// Time between two checks of whether another entry has fetched this entry's key list. The wait
+/// ends after `keys::LIST_COPY_LIMIT`.
 const COPY_POLL: Duration = Duration::from_millis(10);
 
-/// A key map with its version in the store.
+/// A service, the version of its key map in the store, and the key map.
 type StoredMap = (ServiceId, u64, KeyMap);
 
-/// Heartbeat and key map state of this entry.
+/// State of the heartbeat loop, which also reads and writes the key maps.
 pub struct Heartbeats<S: Store> {
     context: Arc<Context<S>>,
     /// Version of this entry's record in the store.
     version: u64,
+    /// Number of heartbeats, including failed ones.
     counter: u64,
-    /// A record of this incarnation was written.
+    /// The store holds, or has held, a record of this incarnation.
     has_record: bool,
-    /// The incarnation whose record was found.
+    /// Incarnation of the earlier process whose record was found in the store.
     predecessor: Option<Incarnation>,
-    /// Another process has taken this entry's name.
+    /// Another process has written its record under this entry's ID.
     replaced: bool,
     planner: Planner,
 }
 
 impl<S: Store> Heartbeats<S> {
-    /// Builds the state before the first heartbeat.
+    /// Creates the state before the first heartbeat.
     pub fn new(context: Arc<Context<S>>) -> Self {
         let planner = Planner::new(context.settings.outage_hold);
         Heartbeats {
@@ -59,7 +65,7 @@
         }
     }
 
-    /// Runs one round after the other until the signal.
+    /// Runs heartbeat rounds until the shutdown signal.
     pub async fn run(mut self, shutdown: Shutdown) -> Self {
         loop {
             let start = runtime::now();
@@ -84,8 +90,8 @@
         }
     }
 
-    /// Waits for the next round, at least [`RETRY`] when it is asked for early. Tells whether the
-    /// signal came.
+    /// Waits for `pause`, or until an early round is requested but then for at least
+    /// [`HEARTBEAT_RETRY`]. Tells whether the shutdown signal arrived.
     async fn pause(&self, pause: Duration, shutdown: &Shutdown) -> bool {
         let early = async {
             runtime::sleep(HEARTBEAT_RETRY).await;
@@ -96,7 +102,7 @@
     }
 
     /// Waits until this entry may acknowledge the moves that it has adopted, so that the next
-    /// heartbeat does.
+    /// heartbeat acknowledges them.
     async fn wait_copied(&self) {
         loop {
             let now = runtime::now();
@@ -111,7 +117,8 @@
         }
     }
 
-    /// Tells the other entries that this one has ended and dispatches nothing more.
+    /// Writes the last heartbeat, which tells the other entries that this one has stopped and
+    /// dispatches no more requests.
     pub async fn write_last(&mut self) {
         for _ in 0..LAST_ATTEMPTS {
             match self.write_heartbeat(true).await {
@@ -121,9 +128,10 @@
         }
     }
 
-    /// Runs one round. The order matters: the heartbeat is written before the key maps are read
-    /// (see `Gate::adopt`), and these before the entries are listed (see `plan::View`). Tells
-    /// whether another round should follow at once, to acknowledge or to finish a move.
+    /// Runs one heartbeat round. The order matters: the heartbeat is written before the key maps are
+    /// read (see `KeyGate::adopt`), and the key maps are read before the entries are listed (see
+    /// `plan::ServiceView`). Tells whether another round should follow at once, to acknowledge or to
+    /// finish a move.
     async fn round(&mut self) -> Result<bool, StoreError> {
         let start = runtime::now();
         self.write_heartbeat(false).await?;
@@ -139,6 +147,7 @@
         Ok(moved || written)
     }
 
+    /// Writes this entry's record, unless the entry was replaced.
     async fn write_heartbeat(&mut self, stopped: bool) -> Result<(), StoreError> {
         if self.replaced {
             return Ok(());
@@ -147,7 +156,7 @@
         let key = format!("{ENTRIES}{}", self.context.settings.id);
         let record = self.record(stopped);
         let value = encode(&record)?;
-        // The second try follows the record that was found by the first.
+        // The second attempt uses the version that was read after a conflict of the first.
         for _ in 0..2 {
             match self.context.store.put(&key, self.version, value.clone()).await? {
                 PutOutcome::Written(version) => {
@@ -164,8 +173,8 @@
         Err(StoreError::new(Step::Send, key, "the record changes too often"))
     }
 
-    /// Reads this entry's record after a conflict: an earlier write whose answer was lost, a record
-    /// of an earlier incarnation, or one of a process that has taken the name.
+    /// Reads this entry's record after a conflict. The record is from a write whose response was
+    /// lost, from an earlier incarnation, or from another process that runs under the same ID.
     async fn read_own(&mut self, key: &str) -> Result<(), StoreError> {
         let found = self.context.store.get(key).await?;
         self.version = found.as_ref().map_or(0, |found| found.version);
@@ -188,16 +197,17 @@
         if let Some(predecessor) = incarnation.filter(|_| is_complete) {
             self.context.keys.lock().set_predecessor(predecessor);
         }
-        // A malformed record stands for an incarnation that no list names.
+        // A malformed record counts as one of incarnation 0, which no entry uses.
         self.predecessor = Some(incarnation.unwrap_or_default());
         Ok(())
     }
 
+    /// Builds this entry's record for a heartbeat.
     fn record(&self, stopped: bool) -> EntryRecord {
         let context = &self.context;
-        // Until the retention has passed, keys that an earlier incarnation dispatched may matter,
-        // unless they were taken over.
-        // The first write finds out by its conflict whether there was one.
+        // Until the retention period is over, keys of an earlier incarnation may matter, unless
+        // they were recovered. Only the first write shows, by a conflict, whether there was an
+        // earlier incarnation.
         let complete = match self.predecessor.is_some() || !self.has_record {
             true => {
                 runtime::now() >= time::lease_wait(RETENTION) || context.keys.lock().is_recovered()
@@ -224,6 +234,7 @@
         }
     }
 
+    /// Reads the key maps of all services.
     async fn list_maps(&self) -> Result<Vec<StoredMap>, StoreError> {
         let listed = self.context.store.list(KEY_MAPS).await?;
         Ok(listed
@@ -235,12 +246,13 @@
             .collect())
     }
 
+    /// Reads the records of all entries.
     async fn list_records(&self) -> Result<Vec<EntryRecord>, StoreError> {
         let listed = self.context.store.list(ENTRIES).await?;
         Ok(listed.iter().filter_map(|(key, found)| decode(key, found)).collect())
     }
 
-    /// Adopts the key maps; tells whether a generation rose.
+    /// Adopts the key maps read in a round that began at `start`. Tells whether a generation changed.
     fn adopt(&self, start: Duration, maps: &[StoredMap]) -> bool {
         let maps = maps.iter().map(|(service, _, map)| (service.clone(), map.clone())).collect();
         let mut keys = self.context.keys.lock();
@@ -249,8 +261,8 @@
         keys.generations() != before
     }
 
-    /// Plans and writes the moves of the services that this entry is responsible for; tells
-    /// whether a map was written.
+    /// Plans and writes the moves of the services that this entry coordinates. Tells whether a key
+    /// map was written.
     async fn plan(&mut self, maps: Vec<StoredMap>) -> bool {
         let mut written = false;
         let now = runtime::now();
@@ -294,6 +306,7 @@
         written
     }
 
+    /// Writes a key map if its version in the store is still `version`. Tells whether that succeeded.
     async fn write_map(&self, service: &str, version: u64, map: KeyMap) -> bool {
         let generation = map.generation;
         let moving = map.is_moving();
@@ -311,7 +324,7 @@
             Ok(PutOutcome::Conflict(_)) => {
                 tracing::info!(event = "key_map_conflict", service, generation);
             }
-            // The next round reads what the store holds.
+            // The next round reads the key map again.
             Err(error) => tracing::warn!(event = "key_map_failed", service, %error),
         }
         false
@@ -328,7 +341,7 @@
         .map_err(|error| StoreError::new(Step::Send, "store", error))
 }
 
-/// Decodes a record. A malformed one is logged and treated as absent.
+/// Decodes a stored JSON value. Logs a malformed value and returns `None`.
 fn decode<T: serde::de::DeserializeOwned>(key: &str, found: &Versioned) -> Option<T> {
     match serde_json::from_slice(&found.value) {
         Ok(value) => Some(value),
--- a/crates/entry/src/operator.rs
+++ b/crates/entry/src/operator.rs
@@ -1,4 +1,4 @@
-//! Operators' interface to the configuration and the state of the entry.
+//! HTTP interface for operators: the configuration and the status of the entry.
 
 use std::sync::Arc;
 
@@ -15,11 +15,11 @@
 use crate::context::Context;
 use crate::{config, reply};
 
-/// Largest body of an operator's or submitter's request.
+/// Largest body of a configuration patch or job operation.
 pub const MAX_BODY_BYTES: usize = 512 * 1024;
-/// Header that names the author of a patch.
+/// Request header with the author of a configuration patch.
 const AUTHOR: &str = "peridotfold-author";
-/// Header with the version of the document in the body.
+/// Response header with the version of the configuration in the body.
 const VERSION: &str = "peridotfold-config-version";
 
 /// Answers `GET /v1/status`.
@@ -84,11 +84,11 @@
     }
 }
 
-/// Reads a whole body.
+/// Reads a whole request body of at most [`MAX_BODY_BYTES`].
 ///
 /// # Errors
 ///
-/// Returns the response for a body that is too large or cut.
+/// Returns the response that rejects a body that is too large or incomplete.
 pub async fn read_body(incoming: Incoming) -> Result<Bytes, Box<Response<Body>>> {
     match Limited::new(incoming, MAX_BODY_BYTES).collect().await {
         Ok(whole) => Ok(whole.to_bytes()),
@@ -96,12 +96,13 @@
     }
 }
 
-/// Returns a parameter of the query.
+/// Returns the value of the query parameter `name`, without percent-decoding.
 pub fn parameter<'a>(query: Option<&'a str>, name: &str) -> Option<&'a str> {
     let mut pairs = query?.split('&').filter_map(|pair| pair.split_once('='));
     pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
 }
 
+/// Returns the response that rejects the request, unless an operator sent it.
 fn require_operator<S: Store>(
     context: &Arc<Context<S>>,
     headers: &HeaderMap,
@@ -132,7 +133,8 @@
     }
 }
 
-/// Returns a document with its version, both in the body and as a header.
+/// Returns a response with a configuration document and its version, which is in the body and in a
+/// header.
 fn document_response(version: u64, document: &Bytes) -> Response<Body> {
     let document: serde_json::Value = match serde_json::from_slice(document) {
         Ok(document) => document,
@@ -146,6 +148,7 @@
     response
 }
 
+/// Submits a configuration patch and puts the resulting version into effect.
 async fn patch<S: Store>(context: &Arc<Context<S>>, request: Request<Incoming>) -> Response<Body> {
     let base = parameter(request.uri().query(), "base").and_then(|text| text.parse().ok());
     let Some(base) = base else {
@@ -173,6 +176,7 @@
     }
 }
 
+/// Returns the response for a patch that was not accepted or whose outcome is unknown.
 fn reject_patch<S: Store>(
     context: &Arc<Context<S>>,
     repository: &ConfigRepository<S>,
@@ -202,6 +206,7 @@
     }
 }
 
+/// Returns the response while the configuration was never read from the store.
 fn store_down() -> Response<Body> {
     let text = "the store has not answered since the start of this entry";
     reply::error(StatusCode::SERVICE_UNAVAILABLE, text)
--- a/crates/entry/src/proxy.rs
+++ b/crates/entry/src/proxy.rs
@@ -1,4 +1,6 @@
-//! Callers' requests.
+//! Forwarding of callers' requests to upstreams through their agents.
+//!
+//! Each request ends with an answer, as certainly not run, or as unknown if it may have run.
 
 pub mod attempt;
 pub mod call;
@@ -28,10 +30,10 @@
 use crate::proxy::upload::Upload;
 use crate::{headers, reply, trace};
 
-/// Answers a caller's request.
+/// Answers the request of a caller.
 ///
-/// The exchange runs in a task of its own, which goes on when this future is dropped with the
-/// caller's connection: it then cancels the request and records the outcome of its key.
+/// The exchange runs in a separate task, which continues when this future is dropped with the
+/// caller's connection. The task then cancels the request and records the outcome of its key.
 pub async fn serve<S: Store>(
     context: Arc<Context<S>>,
     request: Request<Incoming>,
@@ -53,6 +55,8 @@
     response
 }
 
+/// Checks and dispatches a request, and passes its response to `sender`. `caller_gone` fires when
+/// the caller's connection is closed.
 async fn exchange<S: Store>(
     context: Arc<Context<S>>,
     request: Request<Incoming>,
@@ -83,23 +87,25 @@
             let _ = sender.send(reply::unknown(status, error)).await;
         }
         Outcome::Answer(answer) => {
-            // Holds the count of requests in flight until the body has ended.
+            // The request counts as in flight until its response body has ended.
             let _in_flight = in_flight;
             pass_on(&call, answer, &context.drained, sender).await;
         }
     }
 }
 
-/// How the body of an answer ended.
+/// How a response body ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum BodyEnd {
+    /// The whole body was passed on.
     Complete,
     /// Ended by the shutdown of this entry, at a chunk boundary.
     Drained,
-    /// The agent's stream ended early, or the caller is gone.
+    /// The agent's stream ended early, or the caller closed the connection.
     Cut,
 }
 
+/// Passes an upstream's answer on to the caller.
 async fn pass_on(call: &Call, answer: Answer, drained: &Shutdown, sender: Sender<Response<Body>>) {
     let Answer { status, headers, receiver, upload } = answer;
     let (body_sender, body) = Body::parts();
@@ -119,13 +125,14 @@
     match upload {
         // The upstream may answer before it has read the request.
         Some(task) if end == BodyEnd::Complete => task.await,
-        // Dropped with the receiver, the stream is reset and the agent gives the request up.
+        // Dropping the task and the receiver resets the stream, on which the agent abandons the
+        // request.
         Some(_) | None => {}
     }
 }
 
-/// Passes the body on. A body that is cut also cuts the caller's connection, since its sender is
-/// dropped without an end.
+/// Passes the response body on to the caller. Dropping `body` without `finish` closes the caller's
+/// connection, so that a truncated body is seen as one.
 async fn download(
     mut receiver: FrameReceiver,
     mut body: BodySender,
@@ -153,7 +160,8 @@
     }
 }
 
-/// Waits for the next frame, the end of the caller's connection, or the drain.
+/// Waits for the next frame, the end of the caller's connection, or the end of the drain period of a
+/// shutdown.
 async fn receive(
     receiver: &mut FrameReceiver,
     body: &BodySender,
@@ -179,6 +187,7 @@
     future::or(drain, future::or(frame, closed)).await
 }
 
+/// Records the outcome of a request in metrics and the log.
 fn record(call: &Call, outcome: &Outcome) {
     let elapsed = runtime::now().saturating_sub(call.started);
     let name = match outcome {
--- a/crates/entry/src/proxy/attempt.rs
+++ b/crates/entry/src/proxy/attempt.rs
@@ -1,4 +1,4 @@
-//! One dispatch of a request to an agent.
+//! One attempt to run a request: its dispatch to one agent.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,12 +22,12 @@
 use crate::proxy::upload::SharedUpload;
 use crate::reply::ErrorBody;
 
-/// Time for which a final answer waits for the agent's proof that the request was not started:
-/// a few round trips between data centres.
+/// Longest wait for the agent's proof that a request was not started, before its outcome counts as
+/// unknown. A few round trips between data centres.
 const PROOF_WAIT: Duration = Duration::from_millis(25);
-/// Time after which a cancellation is given up.
+/// Timeout of a cancellation message.
 const CANCEL_LIMIT: Duration = Duration::from_secs(1);
-/// Retry-after of a request that was not dispatched.
+/// Value of the `Retry-After` header when no agent gave one.
 pub const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// How a dispatch ended.
@@ -35,31 +35,34 @@
 pub enum Outcome {
     /// The head of the answer arrived.
     Answer(Answer),
-    /// Certainly not run. `reached` tells whether the agent may have received it.
+    /// The request was certainly not run. `reached` tells whether the agent may have received it.
     NotRun { reason: RefuseReason, retry_after: Duration, reached: bool },
-    /// May have run.
+    /// The request may have run.
     Unknown { status: StatusCode, error: ErrorBody },
-    /// The caller is gone.
+    /// The caller closed the connection. `not_run` tells whether the request was certainly not run.
     Abandoned { not_run: bool },
 }
 
-/// The head of an answer, with the streams that go on.
+/// The head of an answer, with the streams of its body and of the request body.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
     pub headers: Vec<(Bytes, Bytes)>,
     pub receiver: FrameReceiver,
+    /// Sends the rest of the request body, if the request has one.
     pub upload: Option<Task<()>>,
 }
 
+/// Reason to stop waiting for an answer.
 enum StopReason {
     Deadline,
     Gone,
 }
 
+/// Head of the response, receiver of its body, and the task that sends the request body.
 type ExchangeResult = Result<(ResponseHead, FrameReceiver, Option<Task<()>>), WireError>;
 
-/// Counts a request as in flight until dropped.
+/// Counts a request as in flight at its target until dropped.
 pub struct InFlight<S: Store> {
     context: Arc<Context<S>>,
     target: Target,
@@ -67,7 +70,7 @@
 }
 
 impl<S: Store> InFlight<S> {
-    /// Begins to count.
+    /// Starts to count a request.
     pub fn begin(context: &Arc<Context<S>>, target: &Target, service: &str) -> Self {
         context.upstreams.lock().begin(target, service);
         let context = context.clone();
@@ -99,7 +102,7 @@
         Outcome::NotRun { reached: false, reason: RefuseReason::UpstreamUnreachable, .. } => {
             Feedback::Unreachable
         }
-        // It refuses all requests until it announces something else.
+        // The agent refuses all requests until its next announcement with another state.
         Outcome::NotRun {
             reason: RefuseReason::Leaving | RefuseReason::WrongIncarnation | RefuseReason::NoConfig,
             ..
@@ -116,6 +119,8 @@
     outcome
 }
 
+/// Connects to the agent, sends the request, and cancels it at the deadline or when the caller is
+/// gone.
 async fn dispatch<S: Store>(
     context: &Arc<Context<S>>,
     call: &Call,
@@ -176,8 +181,8 @@
     let mut body = upload.lock_arc().await;
     let is_empty = body.is_empty();
     let upload = async move {
-        // An agent that refuses a request may close its side before it has read the body: only
-        // its answer tells the outcome.
+        // An agent that refuses a request may close the stream before it has read the body, so only
+        // its response tells the outcome.
         if let Err(error) = body.send(sender).await {
             tracing::debug!(event = "upload_ended", %error);
         }
@@ -200,6 +205,7 @@
     }
 }
 
+/// Converts the head of a response to the outcome of the dispatch.
 fn outcome_from_head(
     (head, receiver, upload): (ResponseHead, FrameReceiver, Option<Task<()>>),
 ) -> Outcome {
@@ -222,7 +228,8 @@
     }
 }
 
-/// Asks the agent for proof after the stream of a dispatch failed.
+/// Cancels a dispatch whose stream failed, and returns its outcome: not run if the agent proves it,
+/// otherwise unknown.
 async fn after_failure<S: Store>(
     context: &Arc<Context<S>>,
     target: &Target,
@@ -243,7 +250,7 @@
     }
 }
 
-/// Cancels a dispatch. The message is sent also when the result is not waited for.
+/// Cancels a dispatch. The message is sent even if the returned future is dropped.
 pub fn cancel<S: Store>(
     context: &Arc<Context<S>>,
     target: &Target,
@@ -262,6 +269,7 @@
     async move { receiver.recv().await.ok().flatten() }
 }
 
+/// Runs `task` for at most `limit`; returns `None` after that.
 async fn with_timeout<T>(
     limit: Duration,
     task: impl std::future::Future<Output = Option<T>>,
@@ -273,6 +281,7 @@
     .await
 }
 
+/// Waits for the deadline or the end of the caller's connection.
 async fn wait_stop(call: &Call, caller_gone: &Shutdown) -> StopReason {
     future::or(
         async {
--- a/crates/entry/src/proxy/call.rs
+++ b/crates/entry/src/proxy/call.rs
@@ -1,4 +1,4 @@
-//! A caller's request, checked.
+//! Validation of callers' requests: service, credential, idempotency key and timeout.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,25 +18,28 @@
 use crate::context::Context;
 use crate::{headers, reply};
 
-/// Path prefix of callers' requests.
+/// Path prefix of requests to services.
 pub const PREFIX: &str = "/s/";
+/// Longest idempotency key.
 const MAX_KEY_BYTES: usize = 256;
-/// The entry cannot ask others yet whether they have dispatched the key.
+/// Error for a request with a key while this entry has no configuration. Before that, it cannot ask
+/// other entries whether they have dispatched the key.
 const NO_CONFIG_TEXT: &str = "no configuration yet; an earlier request with this key may have run";
-/// Longest deadline that is accepted, so that time arithmetic cannot overflow.
+/// Longest timeout of a request; longer ones are shortened, so that time arithmetic cannot overflow.
 const MAX_TIMEOUT: Duration = Duration::from_secs(24 * 3_600);
 
-/// A request that may be dispatched.
+/// A valid request of a caller.
 #[derive(Debug)]
 pub struct Call {
     pub service: ServiceId,
     pub method: Method,
     pub path: String,
     pub headers: Vec<(Bytes, Bytes)>,
-    /// Idempotency key, scoped by team.
+    /// Idempotency key, prefixed with the team so that teams cannot share keys.
     pub key: Option<Bytes>,
     pub started: Time,
     pub deadline: Time,
+    /// Version of the configuration that the request was checked against.
     pub version: ConfigVersion,
     pub trace: TraceContext,
 }
@@ -46,8 +49,8 @@
     ///
     /// # Errors
     ///
-    /// Returns the response that rejects the request. It tells that the request was not run, unless
-    /// the request has a key: an earlier request with that key may have run.
+    /// Returns the response that rejects the request. Its outcome is `not-run`, or `unknown` for a
+    /// request with a key, since an earlier request with that key may have run.
     pub fn check<S: Store>(
         context: &Arc<Context<S>>,
         parts: &Parts,
@@ -101,12 +104,12 @@
         [M::GET, M::HEAD, M::OPTIONS, M::PUT, M::DELETE].contains(&self.method)
     }
 
-    /// Returns the time that is left.
+    /// Returns the time left until the deadline.
     pub fn remaining(&self) -> Duration {
         self.deadline.saturating_sub(runtime::now())
     }
 
-    /// Builds the head of one dispatch.
+    /// Builds the message head of one dispatch.
     pub fn head(&self, id: RequestId, agent_incarnation: Incarnation) -> RequestHead {
         RequestHead {
             id,
@@ -139,13 +142,13 @@
     (service, path)
 }
 
-/// Returns the caller's team if the caller may use the service.
+/// Returns the caller's team, or the response that rejects a caller who may not use the service.
 fn authorize(service: &Service, identity: Identity) -> Result<Option<TeamId>, Box<Response<Body>>> {
     match identity {
         Identity::Team(team) if service.teams.is_empty() || service.teams.contains(&team) => {
             Ok(Some(team))
         }
-        // A service without teams may use credentials of its own.
+        // A service without teams may have credentials of its own in the same header.
         _ if service.teams.is_empty() => Ok(None),
         Identity::Team(_) | Identity::Operator => {
             Err(refuse(StatusCode::FORBIDDEN, "the team may not use this service"))
@@ -156,10 +159,12 @@
     }
 }
 
+/// Tells whether the request has a valid idempotency key.
 fn has_key(parts: &Parts) -> bool {
     parts.headers.get(headers::KEY).is_some_and(|key| (1..=MAX_KEY_BYTES).contains(&key.len()))
 }
 
+/// Returns the idempotency key prefixed with the team, or the response that rejects the key.
 fn parse_key(parts: &Parts, team: Option<&str>) -> Result<Option<Bytes>, Box<Response<Body>>> {
     let Some(value) = parts.headers.get(headers::KEY) else { return Ok(None) };
     if value.is_empty() || value.len() > MAX_KEY_BYTES {
@@ -170,6 +175,7 @@
     Ok(Some(Bytes::from([scope, b"\0", value.as_bytes()].concat())))
 }
 
+/// Returns the caller's timeout or the service's default.
 fn parse_timeout(parts: &Parts, service: &Service) -> Result<Duration, Box<Response<Body>>> {
     let Some(value) = parts.headers.get(headers::TIMEOUT) else { return Ok(service.timeout()) };
     let millis = value.to_str().ok().and_then(|text| text.trim().parse::<u64>().ok());
--- a/crates/entry/src/proxy/keyed.rs
+++ b/crates/entry/src/proxy/keyed.rs
@@ -1,4 +1,8 @@
 //! Requests with an idempotency key.
+//!
+//! The key map assigns each key to one holder, the only agent that may run the key. After a move of
+//! keys to a new holder, the witnesses are the entries that may have dispatched keys to the old one.
+//! A probe asks a witness whether it has dispatched a key.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,13 +26,14 @@
 use crate::proxy::upload::SharedUpload;
 use crate::reply::ErrorBody;
 
-/// Longest wait for the answers of probes. An entry that is slower counts as unreachable.
+/// Longest wait for the answers to probes. A slower entry counts as unreachable.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Longest wait for the proof that a refused key was not run: a final answer is due at once.
+/// Longest wait for the proof that a refused key was not run. Short, since the caller is waiting for
+/// a final answer.
 const CONFIRM_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Dispatches a request to the holder of its key, if that is safe.
+/// Dispatches a request to the holder of its key, if the key cannot have run at another holder.
 pub async fn run<S: Store>(
     context: &Arc<Context<S>>,
     call: &Call,
@@ -49,7 +54,8 @@
     let holder = match decision {
         Decision::Dispatch(holder) => holder,
         Decision::Unknown => return (unknown_outcome(context, call, key), None),
-        // A probe is asked once; a second request for one means that the map changed meanwhile.
+        // Probes are sent once. A second decision to probe means that the key map has changed
+        // meanwhile.
         Decision::Refuse | Decision::Probe { .. } => {
             return (confirm_not_run(context, call, key, unavailable()).await, None);
         }
@@ -71,14 +77,14 @@
     (outcome, Some(in_flight))
 }
 
-/// Tells whether a refusal proves that the key was not run by any dispatch. The holder gives these
-/// reasons only for a key that is not in its table, or whose one run was refused; older holders
-/// were excluded before the dispatch. Other refusals concern one copy of the request only.
+/// Tells whether a refusal proves that no dispatch has run the key. The holder gives these reasons
+/// only for a key that is not in its table or whose only run was refused, and older holders were
+/// ruled out before the dispatch. Other refusals concern a single dispatch of the key only.
 fn proves_not_run(reason: RefuseReason, reached: bool) -> bool {
     reached && matches!(reason, RefuseReason::Overloaded | RefuseReason::KeyUnavailable)
 }
 
-/// Returns `refusal` if no entry has dispatched the key, and otherwise that it may have run.
+/// Returns `refusal` if no entry has dispatched the key, otherwise the outcome unknown.
 async fn confirm_not_run<S: Store>(
     context: &Arc<Context<S>>,
     call: &Call,
@@ -101,6 +107,7 @@
     }
 }
 
+/// Decides where to dispatch a key, before any probe.
 fn decide<S: Store>(context: &Arc<Context<S>>, call: &Call, key: &Bytes) -> Decision {
     let now = runtime::now();
     let upstreams = context.upstreams.lock();
@@ -109,6 +116,7 @@
     context.keys.lock().decide(now, &call.service, key, is_live)
 }
 
+/// Decides where to dispatch a key, with the results of the probes.
 fn decide_probed<S: Store>(
     context: &Arc<Context<S>>,
     call: &Call,
@@ -124,12 +132,13 @@
     keys.decide_probed(now, &call.service, key, generation, results, is_live)
 }
 
+/// Returns the address of a holder, or `None` when the holder is not live.
 fn target<S: Store>(context: &Arc<Context<S>>, call: &Call, holder: &Holder) -> Option<Target> {
     let upstreams = context.upstreams.lock();
     upstreams.holder(runtime::now(), &holder.agent, holder.incarnation, &call.service)
 }
 
-/// Asks the witnesses at the same time.
+/// Probes the witnesses concurrently.
 async fn probe<S: Store>(
     context: &Arc<Context<S>>,
     service: &str,
@@ -155,6 +164,7 @@
     results
 }
 
+/// Probes one witness. Returns `None` when the witness is unreachable.
 async fn ask<S: Store>(
     context: &Arc<Context<S>>,
     witness: &Witness,
@@ -179,6 +189,7 @@
     Outcome::NotRun { reason, retry_after: RETRY_AFTER, reached: false }
 }
 
+/// Returns the outcome of a request whose key may have run with an earlier request.
 fn unknown_outcome<S: Store>(context: &Arc<Context<S>>, call: &Call, key: &Bytes) -> Outcome {
     let cause = context.keys.lock().unknown_cause(runtime::now(), &call.service, key);
     let error = format!("an earlier request with this key may have run; this one was not: {cause}");
--- a/crates/entry/src/proxy/unkeyed.rs
+++ b/crates/entry/src/proxy/unkeyed.rs
@@ -14,7 +14,8 @@
 use crate::proxy::call::Call;
 use crate::proxy::upload::SharedUpload;
 
-/// Dispatches a request, and again to another upstream while that is safe and within the budget.
+/// Dispatches a request, and retries at other upstreams while that is safe and within the retry
+/// budget.
 pub async fn run<S: Store>(
     context: &Arc<Context<S>>,
     call: &Call,
@@ -44,8 +45,8 @@
     context.upstreams.lock().choose(runtime::now(), &call.service, tried, &mut rng)
 }
 
-/// Tells whether a request was certainly not run and may be sent to another upstream. A request
-/// that is not idempotent is never sent again once an agent may have received it.
+/// Tells whether a request was certainly not run and may be retried at another upstream. A request
+/// that is not idempotent is not retried once an agent may have received it.
 fn may_retry(call: &Call, outcome: &Outcome) -> bool {
     match outcome {
         Outcome::NotRun { reason: RefuseReason::DeadlinePassed, .. } => false,
--- a/crates/entry/src/proxy/upload.rs
+++ b/crates/entry/src/proxy/upload.rs
@@ -1,4 +1,4 @@
-//! Body of a caller's request on its way to an agent.
+//! Forwarding of a caller's request body to an agent.
 
 use std::sync::Arc;
 
@@ -10,25 +10,28 @@
 use peridotfold_wire::peer::FrameSender;
 use smol::lock::Mutex;
 
-/// Most bytes of a body that are kept for a retry.
+/// Most bytes of a request body that are kept for a retry.
 const MAX_REPLAY_BYTES: usize = 256 * 1024;
-/// Most bytes in one frame. Small enough that other streams of the connection get their turn.
+/// Most bytes of a body in one frame. Small enough that other streams of the connection are not
+/// delayed.
 const MAX_FRAME_BYTES: usize = 64 * 1024;
 
-/// Name of the caller in errors.
+/// Peer name of the caller in errors.
 const CALLER: &str = "caller";
 
-/// A request body. What was read is kept for a retry, up to a limit.
+/// A request body. Its received parts are kept for a retry, up to [`MAX_REPLAY_BYTES`].
 #[derive(Debug)]
 pub struct Upload {
     incoming: Incoming,
     replay_parts: Vec<Bytes>,
+    /// Bytes received so far.
     size: usize,
     replayable: bool,
+    /// The whole body was received.
     ended: bool,
 }
 
-/// An upload that one attempt after the other reads from.
+/// An upload that successive attempts read from.
 pub type SharedUpload = Arc<Mutex<Upload>>;
 
 impl Upload {
@@ -52,13 +55,13 @@
     ///
     /// # Errors
     ///
-    /// Fails when the stream to the agent is closed, or when the caller's body is cut; the stream
-    /// is then reset, which the agent sees as a cut.
+    /// Fails when the stream to the agent is closed, or when the caller's body is incomplete. In the
+    /// latter case the stream is reset, from which the agent learns that the body is incomplete.
     pub async fn send(&mut self, mut sender: FrameSender) -> Result<(), WireError> {
         let result = self.send_frames(&mut sender).await;
         if matches!(&result, Err(error) if error.peer == CALLER) {
-            // The stream would stay open as long as its answer is waited for. If it is the agent
-            // that has closed its side, its answer may still arrive and must not be discarded.
+            // Without a reset, the stream would stay open while the answer is awaited. After an
+            // error of the agent's side, its answer may still arrive and must not be discarded.
             sender.abort();
         }
         result
@@ -77,7 +80,7 @@
                         self.keep_for_replay(&part);
                         send_part(sender, part).await?;
                     }
-                    // Trailers are not passed on.
+                    // Trailers are not forwarded.
                     Err(_) => continue,
                 },
             }
@@ -86,6 +89,7 @@
         sender.finish()
     }
 
+    /// Keeps a part for a retry, or drops all parts when the body exceeds the limit.
     fn keep_for_replay(&mut self, part: &Bytes) {
         self.size += part.len();
         match self.size <= MAX_REPLAY_BYTES {
@@ -98,6 +102,7 @@
     }
 }
 
+/// Sends a part of the body in frames of at most [`MAX_FRAME_BYTES`].
 async fn send_part(sender: &mut FrameSender, mut part: Bytes) -> Result<(), WireError> {
     while !part.is_empty() {
         let piece = part.split_to(part.len().min(MAX_FRAME_BYTES));
--- a/crates/entry/src/recovery.rs
+++ b/crates/entry/src/recovery.rs
@@ -1,4 +1,7 @@
-//! Takes over the keys that the process before a restart of this entry dispatched.
+//! Recovery of idempotency keys after a restart of this entry.
+//!
+//! A restarted entry does not know the keys that its previous incarnation dispatched. It reads them
+//! from the key tables of the holders, the agents that may have run these keys.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,15 +17,15 @@
 
 use crate::context::Context;
 
-/// Time between two looks at which holders are left.
+/// Time between two checks for holders whose key table was not read yet.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Time allowed for one page.
+/// Timeout of the request for one page of a key table.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time between two pages of one holder, whose node has 4 KB/s for control.
+/// Time between two pages from one holder, whose node has 4 KB/s for control traffic.
 const PAGE_PAUSE: Duration = Duration::from_secs(1);
 
-/// Reads the tables of the holders until all is taken over, or until the keys of the predecessor
-/// no longer matter.
+/// Reads the key tables of the holders until all keys of the previous incarnation are recovered, or
+/// until their retention period is over.
 pub async fn run<S: Store>(context: Arc<Context<S>>, shutdown: Shutdown) {
     let end = time::lease_wait(peridotfold_core::keys::RETENTION);
     while !runtime::sleep_or_shutdown(POLL_INTERVAL, &shutdown).await && runtime::now() < end {
@@ -44,13 +47,14 @@
         future::or(reading, shutdown.wait()).await;
         if context.keys.lock().is_recovered() {
             tracing::info!(event = "keys_recovered", entry = context.settings.id, ended);
-            // Moves that begin from now on rely on the record to say so.
+            // Later moves rely on this entry's record, which now has to show the recovery.
             context.request_round();
             return;
         }
     }
 }
 
+/// Recovers the keys of the incarnation `ended` from one holder.
 async fn take_over_keys<S: Store>(
     context: &Arc<Context<S>>,
     service: String,
@@ -64,7 +68,8 @@
     context.keys.lock().recover_from(runtime::now(), &service, &holder, &table);
 }
 
-/// Reads the whole table of a holder. `None` when it cannot be reached or has restarted.
+/// Reads the whole key table of a holder. Returns `None` when the holder is unreachable or has
+/// restarted.
 async fn read_table<S: Store>(
     context: &Arc<Context<S>>,
     service: &str,
@@ -89,7 +94,7 @@
                 table.extend(keys);
                 match more {
                     false => return Some(table),
-                    // A page has to bring the table forward.
+                    // A page without new keys would be requested forever.
                     true if last <= request.after => return None,
                     true => request.after = last,
                 }
@@ -97,7 +102,7 @@
             Ok(KeyTableReply::Restarted) => return None,
             Err(error) => {
                 tracing::info!(event = "key_table_failed", agent = holder.agent, %error);
-                // A holder that does not answer is not asked at the rate of the first looks.
+                // A failing holder is asked less often than at every check.
                 runtime::sleep(PAGE_PAUSE).await;
                 return None;
             }
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -1,4 +1,7 @@
-//! Passes announcements on to entries that the agent does not announce itself to.
+//! Relay of agents' announcements between entries.
+//!
+//! An agent announces itself only to its home entries. Some of these relay the announcement to the
+//! other entries.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -14,29 +17,32 @@
 
 use crate::context::Context;
 
-/// Time between two messages to an entry. Together with the announcement period and the expiry, a
-/// leaving upstream is known everywhere within 4 s.
+/// Time between two relay messages to an entry. Together with the interval and the expiry of
+/// announcements, all entries know of a leaving upstream within 4 s.
 const RELAY_INTERVAL: Duration = Duration::from_millis(500);
-/// Time allowed for one message; the announcements in it are of no use afterwards.
+/// Timeout of one relay message, after which its announcements are outdated.
 const RELAY_TIMEOUT: Duration = Duration::from_millis(900);
-/// Announcements in one message: at about 105 bytes each, well below the frame limit.
+/// Most announcements in one message. At about 105 bytes each, well below the frame limit.
 const MAX_PAGE_LEN: usize = 2_000;
 
+/// An announcement to relay.
 #[derive(Debug)]
 struct PendingAnnounce {
     received: Time,
     announce: Announce,
+    /// Home entries of the agent, which receive the announcement directly.
     homes: BTreeSet<EntryId>,
 }
 
-/// Announcements that wait to be passed on, the newest of each agent.
+/// Announcements to relay, the newest of each agent.
 #[derive(Debug, Default)]
 pub struct RelayQueue {
     queued: HashMap<AgentId, PendingAnnounce>,
 }
 
 impl RelayQueue {
-    /// Adds an announcement that arrived first-hand, if `own` is one of those that pass it on.
+    /// Adds an announcement received from the agent itself, if the entry `own` relays the agent's
+    /// announcements.
     pub fn add(
         &mut self,
         own: &EntryId,
@@ -60,7 +66,7 @@
     }
 }
 
-/// Passes announcements on until the signal.
+/// Relays announcements until the shutdown signal.
 pub async fn run<S: Store>(context: Arc<Context<S>>, shutdown: Shutdown) {
     while !runtime::sleep_or_shutdown(RELAY_INTERVAL, &shutdown).await {
         let pending = Arc::new(context.relays.lock().take());
@@ -76,6 +82,7 @@
     }
 }
 
+/// Sends one entry the announcements that it did not receive from the agents.
 async fn send<S: Store>(
     context: Arc<Context<S>>,
     entry: EntryAddress,
--- a/crates/entry/src/reply.rs
+++ b/crates/entry/src/reply.rs
@@ -1,4 +1,4 @@
-//! Responses that an entry makes itself.
+//! HTTP responses that originate from the entry, not from an upstream.
 
 use std::time::Duration;
 
@@ -10,20 +10,24 @@
 
 use crate::headers;
 
-/// An error as told to callers and operators.
+/// JSON body of an error response to callers and operators.
 #[derive(Debug, Default, Serialize)]
 pub struct ErrorBody {
+    /// Description of the error.
     pub error: String,
+    /// Request field at fault.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub field: Option<String>,
+    /// Processing step that failed.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub step: Option<String>,
+    /// Address of the process whose call failed.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub peer: Option<String>,
 }
 
 impl ErrorBody {
-    /// Builds an error that names no field, step or peer.
+    /// Creates an error body without field, step and peer.
     pub fn new(error: impl Into<String>) -> Self {
         ErrorBody { error: error.into(), ..ErrorBody::default() }
     }
@@ -40,7 +44,7 @@
     }
 }
 
-/// Returns a response with a body of the given type.
+/// Returns a response with a body of the given content type.
 pub fn typed(
     status: StatusCode,
     content: &'static str,
@@ -52,43 +56,43 @@
     response
 }
 
-/// Returns an error without further parts.
+/// Returns an error response without field, step, peer and outcome.
 pub fn error(status: StatusCode, text: impl Into<String>) -> Response<Body> {
     json(status, &ErrorBody::new(text))
 }
 
-/// Returns the outcome of a request that was certainly not run.
+/// Returns the response to a request that was certainly not run and may be retried.
 pub fn not_run(reason: RefuseReason, retry_after: Duration) -> Response<Body> {
     let status = match reason {
         RefuseReason::Quota => StatusCode::TOO_MANY_REQUESTS,
         _ => StatusCode::SERVICE_UNAVAILABLE,
     };
     let mut response = refused(status, format!("not run: {}", describe_reason(reason)));
-    // Whole seconds; zero would invite an immediate retry.
+    // The header has whole seconds; zero would invite an immediate retry.
     let seconds = retry_after.as_millis().div_ceil(1_000).max(1) as u64;
     response.headers_mut().insert(RETRY_AFTER, HeaderValue::from(seconds));
     response
 }
 
-/// Returns the rejection of a request that cannot succeed when it is repeated.
+/// Returns an error response with the outcome `not-run`.
 pub fn refused(status: StatusCode, text: impl Into<String>) -> Response<Body> {
     let mut response = error(status, text);
     response.headers_mut().insert(headers::OUTCOME, HeaderValue::from_static("not-run"));
     response
 }
 
-/// Returns the outcome of a request that may have run.
+/// Returns the response to a request that may have run.
 pub fn unknown(status: StatusCode, error: ErrorBody) -> Response<Body> {
     with_unknown_outcome(json(status, &error))
 }
 
-/// Returns the rejection of a request whose key may have run with an earlier request.
+/// Sets the outcome of a response to `unknown`.
 pub fn with_unknown_outcome(mut response: Response<Body>) -> Response<Body> {
     response.headers_mut().insert(headers::OUTCOME, HeaderValue::from_static("unknown"));
     response
 }
 
-/// Describes why a request was not run.
+/// Describes the reason why a request was not run.
 pub fn describe_reason(reason: RefuseReason) -> &'static str {
     match reason {
         RefuseReason::Overloaded => "overloaded",
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -1,28 +1,29 @@
-//! Settings of an entry, already checked by the command line.
+//! Settings of an entry, which the command line has validated.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use peridotfold_core::id::{DataCentreId, EntryId};
 
-/// Settings of an entry.
+/// Addresses, identity, credential and time limits of an entry.
 #[derive(Debug, Clone)]
 pub struct Settings {
     pub id: EntryId,
     pub data_centre: DataCentreId,
-    /// Address for callers and operators.
+    /// Listen address for callers and operators.
     pub http: SocketAddr,
-    /// Address for agents and other entries.
+    /// Listen address for agents and other entries.
     pub internal: SocketAddr,
-    /// Address at which agents and other entries reach `internal`, if it is another one.
+    /// Address at which agents and other entries reach `internal`, if it differs.
     pub advertise: Option<SocketAddr>,
+    /// Address of the store.
     pub store: SocketAddr,
-    /// Internal addresses of other entries, asked for the configuration at start.
+    /// Internal addresses of other entries, from which the configuration can be requested.
     pub peers: Vec<SocketAddr>,
     /// SHA-256 digest of the operators' bearer token, in lower-case hex.
     pub operator_digest: String,
-    /// Time that the store may be unreachable before the entry gives up its authority.
+    /// Time for which the store may be unreachable before the entry stops acting as an owner.
     pub outage_hold: Duration,
-    /// Time after which an entry without heartbeats is dead.
+    /// Time without heartbeats after which an entry counts as dead.
     pub dead_after: Duration,
 }
