--- a/crates/entry/src/lists.rs
+++ b/crates/entry/src/lists.rs
@@ -58,7 +58,8 @@
         if !missing.is_empty() {
             future::or(fetch(&context), shutdown.wait()).await;
         }
-        // Retries soon while the set of missing lists changes, then with growing pauses.
+        // Retries soon after the missing lists have changed, since a witness may not have adopted the
+        // move yet.
         pause = match missing.is_empty() || missing != before {
             true => RETRY_MIN,
             false => (pause * 2).min(RETRY_MAX),
--- a/crates/entry/tests/cells.rs
+++ b/crates/entry/tests/cells.rs
@@ -1,4 +1,4 @@
-//! Cells of entries against the stand-in of the store, with agents at the level of messages.
+//! Cell ownership and batch jobs with a fake store, and with agents simulated by their reports.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -127,13 +127,13 @@
     view["state"].as_str().unwrap_or_default().to_owned()
 }
 
-/// An agent that completes each attempt in its next report.
+/// A simulated agent that reports each attempt as completed in its next report.
 #[derive(Default)]
 struct Agent {
     sequence: u64,
     epoch: u64,
     results: BTreeMap<String, TaskResult>,
-    /// Number of starts of each job.
+    /// Number of attempts started, by job.
     starts: BTreeMap<String, usize>,
 }
 
@@ -186,7 +186,8 @@
     Store::start(Options::default()).await.expect("loopback is available")
 }
 
-/// Guards against a broken path from submit to completion, and against teams that see each other.
+/// Guards against jobs that do not get from submission to completion, and against teams that see or
+/// cancel each other's jobs.
 #[test]
 fn jobs_run_and_are_shown_to_their_team_only() {
     run(async {
@@ -213,8 +214,8 @@
     });
 }
 
-/// Guards against jobs that are lost or doubled when a cell is handed over, and against an entry
-/// that keeps a cell at shutdown.
+/// Guards against jobs that are lost or duplicated when a cell is released and taken over, and
+/// against an entry that does not release its cells at shutdown.
 #[test]
 fn a_released_cell_is_taken_over_at_once() {
     run(async {
@@ -235,14 +236,14 @@
     });
 }
 
-/// Guards against a former owner that goes on beside its successor.
+/// Guards against a former owner that continues to act after its successor has taken over.
 #[test]
 fn a_replaced_owner_steps_down() {
     run(async {
         let (store, alive) = (store().await, Alive::default());
         let first = entry("a", 1, &store, &alive);
         until_owned(&first).await;
-        // The first entry is believed dead but still runs.
+        // The first entry counts as dead but is still running.
         alive.lock().clear();
         let second = entry("b", 2, &store, &alive);
         until_owned(&second).await;
@@ -254,7 +255,7 @@
     });
 }
 
-/// Guards against jobs that are lost or run twice when responses of the store are lost.
+/// Guards against jobs that are lost or run twice when 30% of the store's responses are lost.
 #[test]
 fn lost_store_responses_neither_lose_nor_double_work() {
     run(async {
@@ -288,7 +289,8 @@
     });
 }
 
-/// Guards against starts and promises that are not durable while the store is down.
+/// Guards against attempts that start and submissions that are accepted without a commit while the
+/// store is down.
 #[test]
 fn a_store_outage_stops_starts_and_promises_only() {
     run(async {
@@ -310,7 +312,8 @@
     });
 }
 
-/// Calls for 10,000 jobs, a few hundred at the same time, until each was answered.
+/// Submits (`POST`) or cancels (`DELETE`) 10,000 jobs concurrently, repeating each call until it is
+/// answered with another status than 503.
 async fn for_all(entry: &Arc<Entry>, method: &'static str) {
     let mut left: Vec<usize> = (0..10_000).collect();
     let deadline = runtime::now() + 2 * LIMIT;
@@ -324,8 +327,8 @@
                     "POST" => call(&entry, method, "", Some("red"), job(&id)).await,
                     _ => call(&entry, method, &format!("/{id}"), Some("red"), Value::Null).await,
                 };
-                // The commit of a part of the burst takes longer than a call waits. An ended job
-                // may be forgotten by then.
+                // A part of the burst is committed later than a call waits, and is called again. By
+                // then, an ended job may have been deleted.
                 (reply.status == 503).then_some(number)
             })
         });
@@ -337,8 +340,8 @@
     }
 }
 
-/// Guards against a state of 10,000 jobs that does not fit the store, and against a burst of
-/// cancellations that delays other work. Urgent work has to start within 4.5 s.
+/// Guards against a state of 10,000 jobs that exceeds the store's limits, and against a burst of
+/// cancellations that delays other jobs. An urgent job has to start within 4.5 s.
 #[test]
 fn ten_thousand_jobs_fit_and_their_cancellation_delays_nothing() {
     run(async {
@@ -373,7 +376,7 @@
     });
 }
 
-/// Guards against an entry that keeps all cells because it was the first to start.
+/// Guards against an entry that keeps all cells because it started first.
 #[test]
 fn cells_are_spread_over_entries_that_join() {
     run(async {
--- a/crates/entry/tests/config.rs
+++ b/crates/entry/tests/config.rs
@@ -1,4 +1,4 @@
-//! The configuration through entries.
+//! Distribution of the configuration by entries.
 
 #[path = "support/common.rs"]
 mod support;
@@ -16,8 +16,8 @@
     header.map_or("none", |value| value.to_str().unwrap_or("?")).to_owned()
 }
 
-/// Guards against patches on an outdated base, invalid documents, and versions that do not reach
-/// the other entries.
+/// Guards against accepting patches of an outdated version or invalid documents, and against
+/// versions that do not reach the other entries.
 #[test]
 fn patches_are_checked_and_reach_all_entries() {
     run(async {
@@ -46,8 +46,8 @@
     });
 }
 
-/// Guards against an outage of the store that stops requests, accepts patches, or keeps a new entry
-/// from the configuration that the others have.
+/// Guards against a store outage during which requests fail, patches are accepted, or a new entry
+/// does not get the configuration from the other entries.
 #[test]
 fn requests_go_on_while_the_store_is_down() {
     run(async {
@@ -76,8 +76,8 @@
     });
 }
 
-/// Guards against a new entry that tells agents, before it has read the list of entries, that
-/// there is no other entry: they would stop to announce to the others.
+/// Guards against a new entry that sends agents an empty list of entries before it has read the list
+/// from the store. The agents would stop announcing themselves to the other entries.
 #[test]
 fn an_entry_without_the_list_names_no_entries() {
     run(async {
--- a/crates/entry/tests/contract.rs
+++ b/crates/entry/tests/contract.rs
@@ -1,5 +1,5 @@
-//! Contracts of the interfaces. Each suite runs against the stand-in alone and against the
-//! product's own processes, so that the stand-in cannot promise what the product does not keep.
+//! Contract tests of the interfaces of an entry. Each suite runs against a fake and against the real
+//! processes, so that other tests cannot rely on behaviour that only the fake has.
 
 #[path = "support/real_agent.rs"]
 mod real_agent;
@@ -31,7 +31,7 @@
     Upstream::start(Options { behaviour, ..Options::default() }).await.expect("the upstream starts")
 }
 
-/// Waits until the agent has its configuration, without which it announces no service.
+/// Waits until the agent has the configuration, before which it announces no service.
 async fn wait_served(entry: &Entry) {
     support::until("the agent serves", || async {
         entry.get("/s/open/slot/0", &[]).await.is_ok_and(|response| response.status() == 200)
@@ -39,7 +39,7 @@
     .await;
 }
 
-/// An address with the path below which an upstream's pages are found there.
+/// Address of an upstream, or of an entry with the path prefix of the upstream's service.
 struct Pages {
     address: SocketAddr,
     prefix: &'static str,
@@ -62,7 +62,8 @@
     }
 }
 
-/// What callers get from an upstream: whole answers with its status, and a cut that is seen as one.
+/// Checks what callers get from an upstream: complete answers with the right status, and an error
+/// for a truncated answer.
 async fn upstream_contract(upstream: &Upstream, pages: Pages) {
     let padded = format!("execution 2 of bid\n{}", "x".repeat(300_000 - 19));
     let cases = [
@@ -91,7 +92,8 @@
     assert_eq!(upstream.executions().len(), 2, "a bid ran twice or not at all");
 }
 
-/// Guards against a stand-in that behaves unlike an upstream behind the whole path.
+/// Guards against a fake upstream that behaves differently when reached through an entry and an
+/// agent.
 #[test]
 fn an_upstream_keeps_its_contract_alone_and_behind_an_entry() {
     run(async {
@@ -123,6 +125,7 @@
     }
 }
 
+/// Sends a request with an empty body to an agent and returns the head of the response.
 async fn answer_of(
     peers: &Peers,
     agent: &str,
@@ -143,7 +146,7 @@
     Ok(answer)
 }
 
-/// What an entry relies on in its messages with an agent.
+/// Checks the behaviour of an agent on which entries rely.
 async fn agent_contract(agent: &str, incarnation: u64) {
     let peers = Peers::default();
     let answer = answer_of(&peers, agent, &head(1, incarnation)).await.expect("an answer");
@@ -152,7 +155,7 @@
         "{answer:?}"
     );
 
-    // A request that its cancellation overtakes is refused for good.
+    // A request that arrives after its cancellation is refused.
     let late = head(2, incarnation);
     let cancel = Cancel { id: late.id.clone() };
     let reply: CancelReply = peers.call(agent, "cancel", &cancel, LIMIT).await.expect("a reply");
@@ -164,10 +167,10 @@
         "{refused:?}"
     );
 
-    // Errors concern one stream: the connection goes on.
+    // An error ends a single stream; the connection stays usable.
     let unknown: Result<CancelReply, _> = peers.call(agent, "absent", &cancel, LIMIT).await;
     let unknown = unknown.expect_err("a message of an unknown kind was answered");
-    // The refusal may arrive while the message is still being sent.
+    // The refusal may arrive before the message was sent completely.
     assert!(matches!(unknown.step, Step::Send | Step::Receive), "{unknown}");
     assert_eq!(unknown.peer, agent);
     let malformed: Result<CancelReply, _> = peers.call(agent, "cancel", &"text", LIMIT).await;
@@ -176,7 +179,8 @@
     assert!(matches!(answer, ResponseHead::Answer { status: 200, .. }), "{answer:?}");
 }
 
-/// Guards against a stand-in for agents that accepts what the agent refuses, or the reverse.
+/// Guards against a simulated agent that accepts messages that the real agent refuses, or the
+/// reverse.
 #[test]
 fn an_agent_keeps_its_contract_with_entries() {
     run(async {
@@ -195,7 +199,8 @@
     });
 }
 
-/// What a caller may rely on, whatever is behind the entry: each response names its outcome.
+/// Checks that each response to a caller has the right status and outcome, with simulated and real
+/// agents alike.
 async fn caller_contract(entry: &Entry) {
     type Headers<'a> = &'a [(&'a str, &'a str)];
     let cases: [(Method, &str, Headers<'_>, u16, &str); 7] = [
@@ -210,7 +215,7 @@
     for (method, path, headers, status, text) in cases {
         let send = || entry.send(method.clone(), path, headers, "bid");
         let mut response = send().await.expect("an answer");
-        // The buckets of keys open some seconds after the first upstream is known.
+        // The key buckets open some seconds after the first upstream is known.
         let end = runtime::now() + support::WAIT;
         while response.status() != 200 && status == 200 && runtime::now() < end {
             let is_final = match response.status().as_u16() {
@@ -256,16 +261,17 @@
     entry.stop().await;
 }
 
-/// Guards against outcomes that callers see only with the stand-in, or only with the agent.
+/// Guards against outcomes that callers see only with the simulated agent, or only with the real
+/// one.
 #[test]
 fn an_entry_keeps_its_contract_with_callers() {
     run(async {
-        // At the same time, since a new entry dispatches no keys for 8 s.
+        // Both run concurrently, since a new entry dispatches no keys for 8 s.
         futures_lite::future::zip(callers_of_stand_in(), callers_of_agent()).await;
     });
 }
 
-/// What the operators' client relies on: status and form of each reply.
+/// Checks the status and the JSON fields of the replies on which the operators' client relies.
 async fn operator_contract(entry: &Entry, other: &Entry, job: &str) {
     let version = config_version(entry).await;
     let patch = |base: u64| format!("/v1/config?base={base}");
@@ -302,7 +308,7 @@
         assert_eq!(response.status(), status, "{method} {path}: {json}");
         assert!(!json[field].is_null(), "{method} {path} has no {field}: {json}");
     }
-    // The same entry may own the cell, or pass the job on to the one that does.
+    // Either entry may own the cell; the other one forwards job operations to it.
     for entry in [entry, other] {
         support::until("the cell has an owner", || async {
             let absent = entry.operator(Method::GET, "/v1/jobs/absent?cell=cell-1", "").await;
@@ -339,7 +345,7 @@
     config["version"].as_u64().expect("a version")
 }
 
-/// Guards against replies that depend on whether the entry asked owns the cell of the job.
+/// Guards against replies that depend on whether the entry itself owns the job's cell.
 #[test]
 fn entries_keep_their_contract_with_operators() {
     run(async {
--- a/crates/entry/tests/history.rs
+++ b/crates/entry/tests/history.rs
@@ -1,4 +1,5 @@
-//! Requests with keys through two entries and whole agents under faults, judged by their history.
+//! Requests with idempotency keys through two entries and real agents under faults. The recorded
+//! history of the requests is checked for violations.
 
 #[path = "support/history.rs"]
 mod history;
@@ -32,7 +33,7 @@
 
 type Log = Arc<Mutex<Vec<Fact>>>;
 
-/// An upstream that records what it runs.
+/// An upstream that records its executions.
 struct Upstream {
     log: Log,
     runs: AtomicU64,
@@ -62,17 +63,20 @@
     address
 }
 
+/// State shared by the concurrent clients.
 struct Clients {
     log: Log,
     numbers: AtomicU64,
     keys: AtomicU64,
-    /// Addresses of the entries; a restarted one has another.
+    /// Addresses of the two entries. A restarted entry has a new address.
     entries: Mutex<[SocketAddr; 2]>,
-    /// Entry and body of each response that is not an answer, for failures of the test.
+    /// Entry, timeout and error of each request that was not answered, by request number. Printed
+    /// when the test fails.
     details: Mutex<HashMap<u64, String>>,
 }
 
 impl Clients {
+    /// Sends one request and records its start and end in the history.
     async fn send(&self, client: &HttpClient, entry: usize, key: &str, timeout: u64) -> End {
         let request = self.numbers.fetch_add(1, Ordering::Relaxed);
         let address = self.entries.lock()[entry];
@@ -104,7 +108,8 @@
         end
     }
 
-    /// Sends keys, some shared with other clients, and retries each through both entries.
+    /// Sends requests until `stop` fires. Some keys are shared with other clients, and each key is
+    /// repeated through random entries.
     async fn run(self: Arc<Self>, stop: Shutdown) {
         let client = HttpClient::default();
         loop {
@@ -126,9 +131,9 @@
     runtime::sleep(Duration::from_secs(seconds)).await;
 }
 
-/// Guards against answers of other requests, keys that run twice, and keys that have run or still
-/// run although the caller was told that they were not, while agents and an entry restart and the
-/// store is down and loses answers. Also against buckets whose new keys stay `unknown` afterwards.
+/// Guards against answers of other requests, keys that run twice, and keys that have run or run later
+/// although their caller got `not-run`. Meanwhile agents and an entry restart, and the store is down
+/// or loses responses. Also guards against buckets whose new keys stay `unknown` afterwards.
 #[test]
 fn histories_of_keys_are_sound_under_faults() {
     run(async {
@@ -175,12 +180,12 @@
             map.generation > 1 && !map.is_moving()
         })
         .await;
-        // Until here, nobody may have fetched the list of the entry that is killed next.
+        // Waits, since no other entry may have fetched the key list of the entry killed next.
         pause(1).await;
         drop(two);
         let two = Entry::start("entry-2", store.address(), vec![one.internal]).await;
         clients.entries.lock()[1] = two.http;
-        // The moved buckets are open for new keys, though a witness of the move is gone.
+        // The moved buckets have to be open for new keys, although a witness of the move has failed.
         for (entry, number) in (0..2).flat_map(|entry| (0..100).map(move |n| (entry, n))) {
             let key = format!("new-{entry}-{number}");
             until("a new key is answered", || async {
@@ -235,7 +240,7 @@
     });
 }
 
-/// Guards against a checker that accepts anything.
+/// Guards against a history check that accepts every history.
 #[test]
 fn bad_histories_are_rejected() {
     let invoked = |request, key: &str| Fact::Invoked { request, key: key.into() };
--- a/crates/entry/tests/keys.rs
+++ b/crates/entry/tests/keys.rs
@@ -1,4 +1,4 @@
-//! Requests with an idempotency key through two entries.
+//! Requests with an idempotency key through two entries, with simulated agents.
 
 #[path = "support/common.rs"]
 mod support;
@@ -16,8 +16,8 @@
     (response.status().as_u16(), outcome(&response).to_owned())
 }
 
-/// Guards against a key that runs at a second holder when the first is gone, through either entry,
-/// and against keys that can no longer be used after a move.
+/// Guards against a key that is run by a second holder after the first has failed, through either
+/// entry, and against new keys that cannot be used after a move of their bucket.
 #[test]
 fn a_key_is_not_run_again_after_its_holder_is_gone() {
     run(async {
@@ -41,8 +41,8 @@
         })
         .await;
         until("new keys are answered", || async { send(&two, "bid-2").await.0 == 200 }).await;
-        // Until the moved buckets are open, the outcome is unknown because the holder is gone; the
-        // key stays unknown when they are.
+        // Before the moved buckets are open, the outcome is unknown because the holder has failed.
+        // The outcome must stay unknown once they are open.
         for index in 0..40 {
             until("a new key is answered", || async {
                 send(&one, &format!("other-{index}")).await.0 == 200
--- a/crates/entry/tests/relay.rs
+++ b/crates/entry/tests/relay.rs
@@ -1,4 +1,4 @@
-//! Announcements in a system with more entries than an agent has home entries.
+//! Relay of announcements when there are more entries than an agent has home entries.
 
 #[path = "support/common.rs"]
 mod support;
@@ -16,7 +16,7 @@
 
 const ENTRIES: usize = HOME_ENTRIES + 2;
 const AGENT: &str = "vm-1";
-/// Time within which a leaving upstream is known at every entry.
+/// Time within which every entry has to know that an upstream is leaving.
 const LEAVING_LIMIT: Duration = Duration::from_secs(4);
 
 /// Announces to the home entries only, as an agent does.
@@ -28,6 +28,7 @@
     }
 }
 
+/// Returns the state of the agent as shown by each entry, empty if unknown there.
 async fn states(entries: &[Entry]) -> Vec<String> {
     let mut states = Vec::new();
     for entry in entries {
@@ -40,8 +41,8 @@
     states
 }
 
-/// Guards against entries that never hear of an agent whose home entries they are not, and against
-/// new work for it there after it has announced that it leaves.
+/// Guards against entries that do not learn of an agent because they are not its home entries, and
+/// against requests that they still dispatch to the agent after it has announced that it leaves.
 #[test]
 fn every_entry_hears_of_an_agent_and_of_its_leaving() {
     run(async {
--- a/crates/entry/tests/requests.rs
+++ b/crates/entry/tests/requests.rs
@@ -1,4 +1,4 @@
-//! Callers' requests through a whole entry.
+//! Callers' requests through an entry to simulated agents.
 
 #[path = "support/common.rs"]
 mod support;
@@ -10,7 +10,8 @@
 use support::agent::{Agent, Behaviour};
 use support::{outcome, run, store, until, Entry};
 
-/// Guards against lost parts of a request or a response on the way through the entry.
+/// Guards against an entry that loses parts of a request or a response, or forwards headers that it
+/// must remove.
 #[test]
 fn requests_reach_an_upstream_and_answers_the_caller() {
     run(async {
@@ -47,8 +48,8 @@
     });
 }
 
-/// Guards against callers that use a service without its credential, and against outcomes that are
-/// not certain: a rejected request was not run, but its key may have been.
+/// Guards against callers that use a service without its credential, and against wrong outcomes. A
+/// rejected request was not run, but an earlier request with the same key may have been.
 #[test]
 fn requests_without_credential_are_rejected() {
     run(async {
@@ -91,7 +92,7 @@
     });
 }
 
-/// Guards against unlimited retries: 1.1 tries per first try (section 1.7).
+/// Guards against unlimited retries: at most 1.1 dispatches per request (section 1.7).
 #[test]
 fn refused_requests_are_retried_within_the_budget() {
     run(async {
@@ -111,7 +112,7 @@
         let tries = one.received() + two.received();
         assert!(tries > FIRST, "no request was retried");
         assert!(tries * 10 <= FIRST * 11, "{tries} tries of {FIRST} requests");
-        // A request that is not idempotent is not sent again after an agent received it.
+        // A request that is not idempotent is not retried after an agent has received it.
         let before = one.received() + two.received();
         for _ in 0..20 {
             entry.send(Method::POST, "/s/open/x", &[], "bid").await.expect("an answer");
@@ -121,7 +122,8 @@
     });
 }
 
-/// Guards against late final answers, and against `not run` without proof.
+/// Guards against responses after the deadline, and against the outcome `not-run` without proof from
+/// the agent.
 #[test]
 fn the_deadline_ends_a_request() {
     run(async {
@@ -145,7 +147,7 @@
     });
 }
 
-/// Guards against a truncated response that the caller takes for a whole one.
+/// Guards against a truncated response that looks complete to the caller.
 #[test]
 fn a_cut_response_is_seen_by_the_caller() {
     run(async {
@@ -159,7 +161,7 @@
     });
 }
 
-/// Guards against a planned stop that interrupts a request.
+/// Guards against a graceful stop that interrupts a request.
 #[test]
 fn a_stop_lets_requests_end() {
     run(async {
@@ -178,7 +180,7 @@
     });
 }
 
-/// Guards against a caller that is gone and whose request goes on.
+/// Guards against a request that continues after its caller has closed the connection.
 #[test]
 fn an_abandoned_request_is_cancelled() {
     run(async {
@@ -191,7 +193,7 @@
             let _ = entry.get("/s/open/hang", &headers).await;
         };
         let begun = until("the request has begun", || async { agent.received() == 1 });
-        // The request's future and with it the caller's connection are dropped.
+        // Dropping the request's future closes the caller's connection.
         futures_lite::future::or(request, begun).await;
         until("the request is cancelled", || async { agent.log.lock().cancels == 1 }).await;
         entry.stop().await;
--- a/crates/entry/tests/support/agent.rs
+++ b/crates/entry/tests/support/agent.rs
@@ -1,4 +1,4 @@
-//! An agent whose answer is chosen by the request path.
+//! A simulated agent whose answer depends on the request path.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -18,18 +18,19 @@
 use peridotfold_wire::server::{Handler, MessageServer, Stream};
 use peridotfold_wire::shutdown::{self, Shutdown, Trigger};
 
+/// Time between two announcements.
 const PERIOD: Duration = Duration::from_millis(200);
 
-/// What an agent has received.
+/// The messages that a simulated agent has received.
 #[derive(Default)]
 pub struct Log {
     pub heads: Vec<RequestHead>,
     pub cancels: u32,
-    /// Requests whose cancellation was answered with the proof that they were not started.
+    /// Requests whose cancellation was answered as `NotStarted`.
     refused: BTreeSet<RequestId>,
 }
 
-/// A running agent. It stops to announce and to accept when dropped.
+/// A running simulated agent. Stops announcing itself and accepting connections when dropped.
 pub struct Agent {
     pub log: Arc<Mutex<Log>>,
     pub address: SocketAddr,
@@ -37,22 +38,26 @@
     _stop: Trigger,
 }
 
+/// Handles the messages of entries.
 struct Answers {
     log: Arc<Mutex<Log>>,
     /// Refuses every request.
     refusing: bool,
-    /// Proves that cancelled requests were not started.
+    /// Answers cancellations as `NotStarted`, which proves that the request was not run.
     proving: bool,
 }
 
-/// How an agent behaves.
+/// Behaviour of a simulated agent.
 #[derive(Clone, Copy, Default)]
 pub struct Behaviour {
+    /// Refuses every request as overloaded.
     pub refusing: bool,
+    /// Answers cancellations as `NotStarted`.
     pub proving: bool,
 }
 
 impl Agent {
+    /// Starts an agent that announces itself to `entries`.
     pub async fn start(name: &str, entries: &[SocketAddr], behaviour: Behaviour) -> Agent {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let server = MessageServer::bind(any).await.expect("the agent listens");
@@ -70,6 +75,7 @@
         Agent { log, address, incarnation, _stop: trigger }
     }
 
+    /// Returns the number of requests received.
     pub fn received(&self) -> usize {
         self.log.lock().heads.len()
     }
@@ -157,7 +163,7 @@
             "/cut" => {
                 sender.send(&answer(200)).await?;
                 sender.send(&BodyFrame::Data(Bytes::from_static(b"part"))).await?;
-                // Ends the stream without the frame that ends the body.
+                // Finishes the stream without the end frame of the body.
                 return sender.finish();
             }
             "/slow" => {
@@ -166,7 +172,7 @@
             }
             _ => return whole(&mut sender).await,
         }
-        // Holds the stream open without an answer.
+        // Keeps the stream open without an answer.
         let _ = receiver.next::<BodyFrame>().await;
         runtime::sleep(Duration::from_secs(20)).await;
         Ok(())
--- a/crates/entry/tests/support/common.rs
+++ b/crates/entry/tests/support/common.rs
@@ -1,4 +1,4 @@
-//! Entries with the stand-in store, and agents that answer as the request path tells them.
+//! Entries with a fake store, and helpers for their tests.
 
 #![allow(dead_code)]
 
@@ -21,9 +21,11 @@
 use peridotfold_wire::runtime;
 use peridotfold_wire::shutdown::{self, Trigger};
 
-/// Most time that a test waits for a condition.
+/// Longest wait of a test for a condition.
 pub const WAIT: Duration = Duration::from_secs(30);
+/// Timeout of one request to an entry.
 const LIMIT: Duration = Duration::from_secs(10);
+/// Bearer token of the operators.
 pub const OPERATOR: &str = "operator-token";
 /// SHA-256 of [`OPERATOR`].
 pub const OPERATOR_DIGEST: &str =
@@ -31,18 +33,18 @@
 /// SHA-256 of `team-token`.
 pub const TEAM_DIGEST: &str = "2304fcda2bf82779c69d1100357cc0d7af66ee39d6fc1e1ae7a77cb7477f4943";
 
-/// Runs a test on the pool of threads.
+/// Runs a test with the thread pool of the process.
 pub fn run(test: impl std::future::Future<Output = ()>) {
     static THREADS: OnceLock<()> = OnceLock::new();
     THREADS.get_or_init(|| runtime::start_threads(4));
     smol::block_on(test);
 }
 
-/// Waits until `condition` holds.
+/// Waits until `condition` holds. `what` names the condition in the panic message.
 ///
 /// # Panics
 ///
-/// Panics when it does not hold in time.
+/// Panics when the condition does not hold within [`WAIT`].
 pub async fn until<F: std::future::Future<Output = bool>>(
     what: &str,
     mut condition: impl FnMut() -> F,
@@ -64,6 +66,7 @@
 }
 
 impl Entry {
+    /// Starts an entry; `peers` are the internal addresses of other entries.
     pub async fn start(id: &str, store: SocketAddr, peers: Vec<SocketAddr>) -> Entry {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let settings = Settings {
@@ -91,7 +94,7 @@
         Entry { http, internal, client: HttpClient::default(), stop, task }
     }
 
-    /// Starts an entry with a configuration in effect.
+    /// Starts an entry and submits a configuration with the services `open` and `closed`.
     pub async fn configured(id: &str, store: &store::Store) -> Entry {
         let entry = Entry::start(id, store.address(), Vec::new()).await;
         entry.wait_ready().await;
@@ -106,6 +109,7 @@
         entry
     }
 
+    /// Waits until the entry has a configuration.
     pub async fn wait_ready(&self) {
         until("the entry has a configuration", || async {
             self.get("/healthz", &[]).await.is_ok_and(|response| response.status() == 200)
@@ -113,6 +117,7 @@
         .await;
     }
 
+    /// Sends a request to the entry's HTTP address.
     pub async fn send(
         &self,
         method: Method,
@@ -128,6 +133,7 @@
         self.client.exchange(self.http, request, LIMIT).await
     }
 
+    /// Sends a `GET` request.
     pub async fn get(
         &self,
         path: &str,
@@ -136,6 +142,7 @@
         self.send(Method::GET, path, headers, "").await
     }
 
+    /// Sends a request with the operators' credential.
     pub async fn operator(
         &self,
         method: Method,
@@ -147,7 +154,7 @@
         self.send(method, path, &headers, body).await.expect("the entry answers")
     }
 
-    /// Waits until the entry routes to `count` upstreams.
+    /// Waits until the entry shows exactly `count` ready upstreams.
     pub async fn wait_upstreams(&self, count: usize) {
         until("the upstreams are known", || async {
             let status = self.operator(Method::GET, "/v1/status", "").await;
@@ -159,7 +166,7 @@
         .await;
     }
 
-    /// Announces an agent and returns the reply.
+    /// Announces a new agent to the entry and returns the reply.
     pub async fn announce_to(&self) -> AnnounceReply {
         let incarnation = fastrand::u64(1..);
         let message = agent::announce("agent-x", incarnation, self.internal);
@@ -174,17 +181,18 @@
         self.task.await.expect("the entry stops without an error");
     }
 
-    /// Begins a graceful stop.
+    /// Starts a graceful stop without waiting for its end.
     pub fn begin_stop(&self) {
         self.stop.fire();
     }
 }
 
+/// Starts a fake store.
 pub async fn store() -> store::Store {
     store::Store::start(store::Options::default()).await.expect("the store starts")
 }
 
-/// Returns the outcome header of a response.
+/// Returns the outcome header of a response, empty if absent.
 pub fn outcome(response: &Response<Bytes>) -> &str {
     response.headers().get("peridotfold-outcome").map_or("", |v| v.to_str().unwrap_or("?"))
 }
--- a/crates/entry/tests/support/history.rs
+++ b/crates/entry/tests/support/history.rs
@@ -1,49 +1,46 @@
-//! History of requests with keys, and the check of a whole history.
+//! History of requests with idempotency keys, and its check for violations of at-most-once
+//! execution.
 
 use std::collections::HashMap;
 
-/// How a request ended for its caller.
+/// Outcome of a request as seen by its caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum End {
+    /// Answered with this body.
     Answered(String),
     NotRun,
-    /// Unknown, or no response.
+    /// The outcome is unknown, or there was no response.
     Unknown,
 }
 
-/// One fact, in the order of a history.
+/// One event of a history.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Fact {
-    Invoked {
-        request: u64,
-        key: String,
-    },
-    /// An upstream ran a request and answers `text`.
-    Executed {
-        key: String,
-        text: String,
-    },
-    Ended {
-        request: u64,
-        end: End,
-    },
+    /// A client sent a request.
+    Invoked { request: u64, key: String },
+    /// An upstream ran a request with the key and answers `text`.
+    Executed { key: String, text: String },
+    /// A request ended for its client.
+    Ended { request: u64, end: End },
 }
 
+/// A violation of at-most-once execution.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Violation {
-    /// An answer is not that of the request's key.
+    /// A request got an answer that its key did not produce.
     WrongAnswer,
     ExecutedTwice,
-    /// Executed after each request with the key was answered as not run.
+    /// Executed although all requests with the key had ended as not run.
     ExecutedAfterNotRun,
-    /// Answered as not run, although the key had run before the request came.
+    /// Ended as not run, although the key had run before the request was sent.
     NotRunAfterExecution,
 }
 
+/// State of one key during the check.
 #[derive(Default)]
 struct Key {
     executed: Option<String>,
-    /// Requests that are not answered as not run.
+    /// Number of requests with the key that have not ended as not run.
     possible: u32,
 }
 
@@ -51,10 +48,10 @@
 ///
 /// # Errors
 ///
-/// Returns the first violation with its place.
+/// Returns the first violation and the index of its event.
 pub fn check(history: &[Fact]) -> Result<(), (Violation, usize)> {
     let mut keys: HashMap<&str, Key> = HashMap::new();
-    // Key of each open request, and whether the key had run when it came.
+    // Key of each open request, and whether the key had run before the request was sent.
     let mut requests: HashMap<u64, (&str, bool)> = HashMap::new();
     for (place, fact) in history.iter().enumerate() {
         let violation = match fact {
@@ -95,7 +92,7 @@
     Ok(())
 }
 
-/// Returns the key that a fact is about.
+/// Returns the key of the event at an index.
 pub fn key_of(history: &[Fact], place: usize) -> &str {
     match &history[place] {
         Fact::Invoked { key, .. } | Fact::Executed { key, .. } => key,
--- a/crates/entry/tests/support/real_agent.rs
+++ b/crates/entry/tests/support/real_agent.rs
@@ -1,4 +1,4 @@
-//! The agent of the product, in the test's process.
+//! The real agent, run in the test process.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,7 +20,7 @@
         entries,
         service: "open".into(),
         upstream,
-        // Nothing answers there: these tests have no batch tasks.
+        // No worker listens on this port, since these tests run no batch tasks.
         worker: SocketAddr::from(([127, 0, 0, 1], 9)),
         drain_grace: Duration::from_secs(1),
     };
