--- a/crates/entry/src/cells.rs
+++ b/crates/entry/src/cells.rs
@@ -8,10 +8,10 @@
 //! Lock order: `placement`, `owned_cells`, `owner_cache`, then the state of one owned cell. No lock
 //! is held across an await.
 
-mod claim;
 mod jobs;
 mod owned;
 mod record;
+mod takeover;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -86,7 +86,7 @@
     owner_cache: Mutex<BTreeMap<CellId, CachedRecord>>,
     /// Cells whose check, takeover or release is running.
     in_progress: Mutex<BTreeSet<CellId>>,
-    placement: Mutex<claim::Placement>,
+    placement: Mutex<takeover::Placement>,
     /// No heartbeat has succeeded for [`STORE_DOWN_AFTER`].
     store_down: AtomicBool,
     document: Mutex<Arc<Document>>,
@@ -140,9 +140,9 @@
             *self.shared.document.lock() = document.clone();
             self.update_owned(&document);
             let alive = alive();
-            claim::scan_cells(&self.shared, &document, &alive);
+            takeover::scan_cells(&self.shared, &document, &alive);
             if !self.shared.store_down.load(Ordering::Relaxed) {
-                claim::hand_over(&self.shared, &document, &alive);
+                takeover::hand_over(&self.shared, &document, &alive);
             }
             if runtime::sleep_or_shutdown(SCAN_INTERVAL, &shutdown).await {
                 break;
--- a/crates/entry/src/cells/jobs.rs
+++ b/crates/entry/src/cells/jobs.rs
@@ -90,7 +90,7 @@
     };
     let id = spec.id.clone();
     let (answer, durable) = owned.with_state(|state| {
-        let (ticket, durable) = state.ticket();
+        let (ticket, durable) = state.issue_ticket();
         let answer = state.cell.submit(spec, ticket);
         if !matches!(answer, SubmitReply::Created | SubmitReply::Existing) {
             state.tickets.remove(&ticket);
@@ -120,7 +120,7 @@
         return unavailable("the store is down; the job was not cancelled");
     }
     let (answer, durable) = owned.with_state(|state| {
-        let (ticket, durable) = state.ticket();
+        let (ticket, durable) = state.issue_ticket();
         let answer = state.cell.cancel(team, id, ticket);
         if answer != CancelReply::Accepted {
             state.tickets.remove(&ticket);
--- a/crates/entry/src/cells/owned.rs
+++ b/crates/entry/src/cells/owned.rs
@@ -39,7 +39,7 @@
 
 /// State of an owned cell that its tasks and callers share.
 #[derive(Debug)]
-pub(super) struct State {
+pub(super) struct OwnedState {
     pub cell: Cell,
     /// Signals of calls that wait for a commit, by ticket.
     pub tickets: HashMap<Ticket, Sender<()>>,
@@ -56,7 +56,7 @@
     pub id: CellId,
     shared: Arc<Shared<S>>,
     epoch: Epoch,
-    state: Mutex<State>,
+    state: Mutex<OwnedState>,
     /// The ownership was lost or released.
     ended: AtomicBool,
     /// Wakes the task that commits.
@@ -65,7 +65,7 @@
 
 impl<S: Store> OwnedCell<S> {
     /// Creates a cell that was taken over and starts its tasks.
-    pub fn open(
+    pub fn start(
         shared: &Arc<Shared<S>>,
         id: CellId,
         epoch: Epoch,
@@ -73,7 +73,7 @@
         journal: Journal<S, Replayed>,
     ) -> Arc<Self> {
         let (commit_signal, commit_wanted) = async_channel::bounded(1);
-        let state = State {
+        let state = OwnedState {
             cell,
             tickets: HashMap::new(),
             last_ticket: 0,
@@ -128,7 +128,7 @@
 
     /// Runs `change` on the state, delivers the resulting effects, and wakes the commit task if there
     /// are uncommitted events.
-    pub fn with_state<T>(&self, change: impl FnOnce(&mut State) -> T) -> T {
+    pub fn with_state<T>(&self, change: impl FnOnce(&mut OwnedState) -> T) -> T {
         let mut state = self.state.lock();
         let result = change(&mut state);
         state.deliver_effects();
@@ -150,7 +150,7 @@
             }
             ReportStatus::NotOwner => {
                 if report.epoch > self.epoch {
-                    self.lose("a report names a higher epoch");
+                    self.lose_ownership("a report names a higher epoch");
                 }
                 return None;
             }
@@ -169,8 +169,9 @@
             }
         }
         let Report { agent, incarnation, sequence, .. } = report;
-        let answer =
-            |state: &mut State| state.cell.answer(runtime::now(), &agent, incarnation, sequence);
+        let answer = |state: &mut OwnedState| {
+            state.cell.answer(runtime::now(), &agent, incarnation, sequence)
+        };
         self.with_state(answer)
     }
 
@@ -237,7 +238,7 @@
         metrics::histogram!("cell_commit_seconds", "cell" => cell).record(elapsed.as_secs_f64());
         match result {
             Ok(()) => {
-                self.log(&events);
+                self.log_events(&events);
                 self.with_state(|state| {
                     state.cell.record_store_contact(start);
                     state.cell.confirm_commit();
@@ -250,7 +251,7 @@
                 false
             }
             Err(error) => {
-                self.lose(&error.to_string());
+                self.lose_ownership(&error.to_string());
                 false
             }
         }
@@ -266,9 +267,9 @@
                     Some(record) if self.is_own(&record) => {
                         self.state.lock().cell.record_store_contact(start);
                     }
-                    _ => self.lose("another owner is recorded"),
+                    _ => self.lose_ownership("another owner is recorded"),
                 },
-                Ok(None) => self.lose("the owner record is gone"),
+                Ok(None) => self.lose_ownership("the owner record is gone"),
                 Err(error) => {
                     tracing::debug!(event = "owner_check_failed", cell = self.id, %error);
                 }
@@ -297,7 +298,7 @@
     }
 
     /// Ends the ownership without a release, since another entry may own the cell.
-    fn lose(&self, reason: &str) {
+    fn lose_ownership(&self, reason: &str) {
         if self.ended.swap(true, Ordering::AcqRel) {
             return;
         }
@@ -345,7 +346,7 @@
     }
 
     /// Logs and counts committed events.
-    pub fn log(&self, events: &[Event]) {
+    pub fn log_events(&self, events: &[Event]) {
         for event in events {
             let name = event.name();
             metrics::counter!("cell_events_total", "cell" => self.id.clone(), "event" => name)
@@ -355,9 +356,9 @@
     }
 }
 
-impl State {
+impl OwnedState {
     /// Issues a ticket for a change, with the receiver of its signal after the commit.
-    pub fn ticket(&mut self) -> (Ticket, Receiver<()>) {
+    pub fn issue_ticket(&mut self) -> (Ticket, Receiver<()>) {
         let (sender, receiver) = async_channel::bounded(1);
         self.last_ticket += 1;
         self.tickets.insert(self.last_ticket, sender);
--- a/crates/entry/src/cells/claim.rs
+++ b/crates/entry/src/cells/takeover.rs
@@ -67,8 +67,8 @@
     }
 }
 
-/// Tells whether the list of live entries contains this entry. Before the first successful list, it
-/// is empty and every owner would look dead.
+/// Tells whether the list of live entries contains this entry. Before the first successful list, the
+/// list is empty and every owner would count as dead.
 fn is_self_listed<S: Store>(shared: &Shared<S>, alive: &[EntryView]) -> bool {
     alive.iter().any(|view| view.incarnation == shared.incarnation)
 }
@@ -166,7 +166,7 @@
     alive.iter().filter(|view| Some(weight(view)) > own).count() as u32
 }
 
-/// Reads the record of a cell and takes the cell over if its owner is gone.
+/// Reads the record of a cell and takes the cell over if it has no live owner.
 async fn check_cell<S: Store>(
     shared: &Arc<Shared<S>>,
     cell: &CellId,
@@ -184,14 +184,14 @@
     }
     let epoch = record.map_or(0, |record| record.epoch) + 1;
     shared.taking_over.fetch_add(1, Ordering::AcqRel);
-    let result = claim(shared, cell, version, epoch).await;
+    let result = claim_cell(shared, cell, version, epoch).await;
     shared.taking_over.fetch_sub(1, Ordering::AcqRel);
     result
 }
 
 /// Writes the owner record and takes the cell over, unless the entry is shutting down or another
 /// entry was faster.
-async fn claim<S: Store>(
+async fn claim_cell<S: Store>(
     shared: &Arc<Shared<S>>,
     cell: &CellId,
     version: u64,
@@ -284,8 +284,8 @@
             result => result?,
         }
         owned.confirm_commit();
-        let owned = OwnedCell::open(shared, cell.clone(), epoch, owned, journal);
-        owned.log(&events);
+        let owned = OwnedCell::start(shared, cell.clone(), epoch, owned, journal);
+        owned.log_events(&events);
         let document = shared.document.lock().clone();
         owned.set_document(&document);
         shared.owned_cells.lock().insert(cell.clone(), owned);
--- a/crates/entry/src/config.rs
+++ b/crates/entry/src/config.rs
@@ -40,7 +40,7 @@
     };
     *context.repository.write() = Some(Arc::new(repository.clone()));
     loop {
-        adopt(context, &repository);
+        install_current(context, &repository);
         let version = repository.current().0;
         if let Err(error) = repository.wait_for_change(version, WATCH_WAIT).await {
             handle_store_failure(context, &error).await;
@@ -49,7 +49,7 @@
 }
 
 /// Puts the repository's current version into effect.
-pub fn adopt<S: Store>(context: &Context<S>, repository: &ConfigRepository<S>) {
+pub fn install_current<S: Store>(context: &Context<S>, repository: &ConfigRepository<S>) {
     let version = context.current().map_or(0, |current| current.version);
     context.install("store", &repository.update_since(version));
 }
@@ -60,9 +60,9 @@
     loop {
         runtime::sleep(RETRY_PAUSE).await;
         let version = context.current().map_or(0, |current| current.version);
-        if let Some(agent) = context.agent_above(version) {
+        if let Some(agent) = context.agent_with_newer(version) {
             request_config(context.clone(), agent, version).await;
-            ask_entries(context).await;
+            request_from_entries(context).await;
         }
     }
 }
@@ -70,12 +70,12 @@
 /// Logs a store failure, asks the other entries for the configuration, and pauses.
 async fn handle_store_failure<S: Store>(context: &Arc<Context<S>>, error: &JournalError) {
     tracing::warn!(event = "config_store_failed", %error);
-    ask_entries(context).await;
+    request_from_entries(context).await;
     runtime::sleep(RETRY_PAUSE).await;
 }
 
 /// Requests the configuration from all other entries concurrently; the highest version takes effect.
-async fn ask_entries<S: Store>(context: &Arc<Context<S>>) {
+async fn request_from_entries<S: Store>(context: &Arc<Context<S>>) {
     let version = context.current().map_or(0, |current| current.version);
     let known = context.alive().into_iter().map(|view| view.address);
     let configured = context.settings.peers.iter().map(|address| address.to_string());
--- a/crates/entry/src/context.rs
+++ b/crates/entry/src/context.rs
@@ -124,7 +124,7 @@
     }
 
     /// Records a configuration version that the agent at `address` has announced.
-    pub fn note_version(&self, version: ConfigVersion, address: &str) {
+    pub fn record_version(&self, version: ConfigVersion, address: &str) {
         let mut announced = self.announced.lock();
         if version > announced.0 {
             *announced = (version, address.to_owned());
@@ -132,7 +132,7 @@
     }
 
     /// Returns the address of an agent that has announced a configuration version above `version`.
-    pub fn agent_above(&self, version: ConfigVersion) -> Option<String> {
+    pub fn agent_with_newer(&self, version: ConfigVersion) -> Option<String> {
         let announced = self.announced.lock();
         (announced.0 > version).then(|| announced.1.clone())
     }
@@ -177,7 +177,7 @@
     }
 
     /// Records that the store accepted a heartbeat sent at `at`.
-    pub fn record_contact(&self, at: Duration) {
+    pub fn record_store_contact(&self, at: Duration) {
         self.last_contact.store(at.as_millis() as u64, Ordering::Relaxed);
     }
 
--- a/crates/entry/src/members.rs
+++ b/crates/entry/src/heartbeats.rs
@@ -29,7 +29,7 @@
 const LAST_ATTEMPTS: usize = 3;
 /// Time between two checks of whether another entry has fetched this entry's key list. The wait
 /// ends after `keys::LIST_COPY_LIMIT`.
-const COPY_POLL: Duration = Duration::from_millis(10);
+const COPY_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A service, the version of its key map in the store, and the key map.
 type StoredMap = (ServiceId, u64, KeyMap);
@@ -71,7 +71,7 @@
             let start = runtime::now();
             let period = match self.round().await {
                 Ok(true) => {
-                    self.wait_copied().await;
+                    self.wait_list_copied().await;
                     Duration::ZERO
                 }
                 Ok(false) => HEARTBEAT_INTERVAL,
@@ -103,7 +103,7 @@
 
     /// Waits until this entry may acknowledge the moves that it has adopted, so that the next
     /// heartbeat acknowledges them.
-    async fn wait_copied(&self) {
+    async fn wait_list_copied(&self) {
         loop {
             let now = runtime::now();
             let is_copied = {
@@ -113,13 +113,13 @@
             if is_copied {
                 return;
             }
-            runtime::sleep(COPY_POLL).await;
+            runtime::sleep(COPY_POLL_INTERVAL).await;
         }
     }
 
     /// Writes the last heartbeat, which tells the other entries that this one has stopped and
     /// dispatches no more requests.
-    pub async fn write_last(&mut self) {
+    pub async fn write_last_heartbeat(&mut self) {
         for _ in 0..LAST_ATTEMPTS {
             match self.write_heartbeat(true).await {
                 Ok(()) => return,
@@ -139,7 +139,7 @@
             return Ok(false);
         }
         let maps = self.list_maps().await?;
-        self.context.record_contact(start);
+        self.context.record_store_contact(start);
         let moved = self.adopt(start, &maps);
         let records = self.list_records().await?;
         self.context.members.lock().observe(runtime::now(), records);
@@ -164,7 +164,7 @@
                     self.has_record = true;
                     return Ok(());
                 }
-                PutOutcome::Conflict(_) => self.read_own(&key).await?,
+                PutOutcome::Conflict(_) => self.read_own_record(&key).await?,
             }
             if self.replaced {
                 return Ok(());
@@ -175,7 +175,7 @@
 
     /// Reads this entry's record after a conflict. The record is from a write whose response was
     /// lost, from an earlier incarnation, or from another process that runs under the same ID.
-    async fn read_own(&mut self, key: &str) -> Result<(), StoreError> {
+    async fn read_own_record(&mut self, key: &str) -> Result<(), StoreError> {
         let found = self.context.store.get(key).await?;
         self.version = found.as_ref().map_or(0, |found| found.version);
         let Some(found) = found else { return Ok(()) };
--- a/crates/entry/src/http.rs
+++ b/crates/entry/src/http.rs
@@ -14,12 +14,12 @@
 use crate::{jobs, operator, proxy, reply};
 
 /// Routes the HTTP requests of callers and operators to their handlers.
-pub struct Http<S: Store> {
+pub struct HttpHandler<S: Store> {
     pub context: Arc<Context<S>>,
     pub metrics: PrometheusHandle,
 }
 
-impl<S: Store> HttpService for Http<S> {
+impl<S: Store> HttpService for HttpHandler<S> {
     async fn call(&self, request: Request<Incoming>) -> Response<Body> {
         let path = request.uri().path();
         if path.starts_with(PREFIX) {
@@ -42,7 +42,7 @@
     }
 }
 
-impl<S: Store> Http<S> {
+impl<S: Store> HttpHandler<S> {
     /// Returns the metrics of the process in the Prometheus text format.
     fn metrics(&self) -> Response<Body> {
         let now = peridotfold_wire::runtime::now();
@@ -51,7 +51,7 @@
             metrics::gauge!("upstreams_live", "service" => service).set(live.len() as f64);
         }
         metrics::gauge!("store_silence_seconds").set(self.context.store_silence().as_secs_f64());
-        reply::typed(StatusCode::OK, "text/plain; version=0.0.4", self.metrics.render())
+        reply::with_content_type(StatusCode::OK, "text/plain; version=0.0.4", self.metrics.render())
     }
 
     /// Tells the load balancer whether this entry accepts requests.
@@ -59,7 +59,7 @@
         match (self.context.is_stopping(), self.context.current()) {
             (true, _) => reply::error(StatusCode::SERVICE_UNAVAILABLE, "shutting down"),
             (false, None) => reply::error(StatusCode::SERVICE_UNAVAILABLE, "no configuration yet"),
-            (false, Some(_)) => reply::typed(StatusCode::OK, "text/plain", "ok\n"),
+            (false, Some(_)) => reply::with_content_type(StatusCode::OK, "text/plain", "ok\n"),
         }
     }
 }
--- a/crates/entry/src/internal.rs
+++ b/crates/entry/src/internal.rs
@@ -20,11 +20,11 @@
 use crate::context::Context;
 
 /// Handles each message by its kind.
-pub struct Internal<S: Store> {
+pub struct InternalHandler<S: Store> {
     pub context: Arc<Context<S>>,
 }
 
-impl<S: Store> Handler for Internal<S> {
+impl<S: Store> Handler for InternalHandler<S> {
     async fn handle(&self, stream: Stream) -> Result<(), WireError> {
         let Stream { kind, mut receiver, responder } = stream;
         match kind.as_str() {
@@ -33,7 +33,7 @@
                 None => responder.refuse(StatusCode::CONFLICT, "older than known".into()),
             },
             "relay" => {
-                self.take_relayed(first_message(&mut receiver).await?);
+                self.record_relayed(first_message(&mut receiver).await?);
                 responder.reply(&()).await
             }
             "report" => {
@@ -79,14 +79,14 @@
     }
 }
 
-impl<S: Store> Internal<S> {
+impl<S: Store> InternalHandler<S> {
     /// Records an agent's announcement and queues it for relay. Returns `None` when a newer one is
     /// known.
     fn announce(&self, announce: Announce) -> Option<AnnounceReply> {
         let context = &self.context;
         let (version, cell) = (announce.config_version, announce.cell.clone());
         let known = announce.entries_digest;
-        context.note_version(version, &announce.address);
+        context.record_version(version, &announce.address);
         let now = runtime::now();
         let is_new = {
             let mut upstreams = context.upstreams.lock();
@@ -116,7 +116,7 @@
     }
 }
 
-impl<S: Store> Internal<S> {
+impl<S: Store> InternalHandler<S> {
     /// Returns a page of the keys that this entry dispatched before a move.
     fn list_keys(&self, request: &KeyListRequest) -> KeyListReply {
         let now = runtime::now();
@@ -139,7 +139,7 @@
     }
 
     /// Records announcements that another entry relays, each with its age.
-    fn take_relayed(&self, relay: Relay) {
+    fn record_relayed(&self, relay: Relay) {
         let now = runtime::now();
         let mut upstreams = self.context.upstreams.lock();
         for (announce, age) in relay.announcements {
--- a/crates/entry/src/jobs.rs
+++ b/crates/entry/src/jobs.rs
@@ -230,7 +230,7 @@
     match result {
         Ok(reply) => {
             let status = StatusCode::from_u16(reply.status).unwrap_or(StatusCode::BAD_GATEWAY);
-            reply::typed(status, "application/json", reply.body)
+            reply::with_content_type(status, "application/json", reply.body)
         }
         Err(Failure::NoOwner { error, peer }) => {
             let text = ErrorBody { error, step: Some("forward".into()), peer, field: None };
--- a/crates/entry/src/lists.rs
+++ b/crates/entry/src/key_lists.rs
@@ -29,8 +29,9 @@
 enum Wake {
     /// The pause is over.
     Due,
-    /// Another entry has adopted a move.
+    /// An early fetch was requested, since another entry has adopted a move.
     Early,
+    /// The entry is shutting down.
     Shutdown,
 }
 
@@ -56,7 +57,7 @@
         }
         let missing = context.keys.lock().missing(runtime::now());
         if !missing.is_empty() {
-            future::or(fetch(&context), shutdown.wait()).await;
+            future::or(fetch_missing(&context), shutdown.wait()).await;
         }
         // Retries soon after the missing lists have changed, since a witness may not have adopted the
         // move yet.
@@ -70,7 +71,7 @@
 
 /// Fetches the missing key lists. Concurrent calls run one after the other; a call less than
 /// [`RETRY_MIN`] after the end of another fetches nothing.
-pub async fn fetch<S: Store>(context: &Arc<Context<S>>) {
+pub async fn fetch_missing<S: Store>(context: &Arc<Context<S>>) {
     let mut last: smol::lock::MutexGuard<'_, Option<Time>> = context.lists_fetched.lock().await;
     let now = runtime::now();
     if last.is_some_and(|at| now.saturating_sub(at) < RETRY_MIN) {
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -6,11 +6,11 @@
 pub mod config;
 pub mod context;
 pub mod headers;
+pub mod heartbeats;
 pub mod http;
 pub mod internal;
 pub mod jobs;
-pub mod lists;
-pub mod members;
+pub mod key_lists;
 pub mod operator;
 pub mod proxy;
 pub mod recovery;
@@ -33,9 +33,9 @@
 use peridotfold_wire::shutdown::{self, Shutdown};
 
 use crate::context::Context;
-use crate::http::Http;
-use crate::internal::Internal;
-use crate::members::Heartbeats;
+use crate::heartbeats::Heartbeats;
+use crate::http::HttpHandler;
+use crate::internal::InternalHandler;
 use crate::settings::Settings;
 
 /// Timeout of one store call. Below the heartbeat interval, so that a slow store delays a heartbeat
@@ -45,7 +45,7 @@
 /// boundary. Without this limit, an endless response would block the shutdown forever.
 const DRAIN_GRACE: Duration = Duration::from_secs(30);
 /// Longest wait at the end of a shutdown for the connections of agents and other entries.
-const CLOSE_LIMIT: Duration = Duration::from_secs(2);
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time between two maintenance runs of the metrics recorder.
 const METRICS_UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
 
@@ -57,7 +57,7 @@
 pub async fn run(settings: Settings) -> eyre::Result<()> {
     let store = HttpStore::new(settings.store, STORE_TIMEOUT);
     let (trigger, shutdown) = shutdown::channel();
-    let serving = runtime::spawn(serve(settings, store, shutdown, announce_addresses));
+    let serving = runtime::spawn(serve(settings, store, shutdown, print_addresses));
     let stopped = future::or(async { Some(runtime::terminated().await) }, async {
         wait_finished(&serving).await;
         None
@@ -76,7 +76,7 @@
 }
 
 /// Prints the bound addresses to standard output.
-fn announce_addresses(http: std::net::SocketAddr, internal: std::net::SocketAddr) {
+fn print_addresses(http: std::net::SocketAddr, internal: std::net::SocketAddr) {
     let mut out = std::io::stdout();
     let _ = writeln!(out, "listening http={http} internal={internal}");
     let _ = out.flush();
@@ -109,17 +109,17 @@
     let (requests, requests_end) = shutdown::channel();
     let (cells, cells_end) = shutdown::channel();
     let (rest, rest_end) = shutdown::channel();
-    let service = Http { context: context.clone(), metrics: metrics_handle() };
+    let service = HttpHandler { context: context.clone(), metrics: metrics_handle() };
     let serving = runtime::spawn(http.serve(Arc::new(service), requests_end));
     let owning = runtime::spawn(own_cells(context.clone(), cells_end));
-    let handler = Arc::new(Internal { context: context.clone() });
+    let handler = Arc::new(InternalHandler { context: context.clone() });
     let handling = runtime::spawn(internal.serve(handler, rest_end.clone()));
-    let beating = runtime::spawn(Heartbeats::new(context.clone()).run(rest_end.clone()));
+    let heartbeat_task = runtime::spawn(Heartbeats::new(context.clone()).run(rest_end.clone()));
     let following = runtime::spawn(config::run(context.clone(), rest_end.clone()));
     let relaying = runtime::spawn(relay::run(context.clone(), rest_end.clone()));
-    let fetching = runtime::spawn(lists::run(context.clone(), rest_end.clone()));
+    let fetching = runtime::spawn(key_lists::run(context.clone(), rest_end.clone()));
     let recovering = runtime::spawn(recovery::run(context.clone(), rest_end.clone()));
-    let upkeep = runtime::spawn(upkeep(rest_end));
+    let maintain_metrics = runtime::spawn(maintain_metrics(rest_end));
     tracing::info!(event = "entry_started", entry = context.settings.id, id = context.incarnation);
 
     shutdown.wait().await;
@@ -135,14 +135,14 @@
     cells.fire();
     owning.await;
     rest.fire();
-    beating.await.write_last().await;
+    heartbeat_task.await.write_last_heartbeat().await;
     // Connections to failed hosts never end.
-    future::or(handling, runtime::sleep(CLOSE_LIMIT)).await;
+    future::or(handling, runtime::sleep(CLOSE_TIMEOUT)).await;
     following.await;
     relaying.await;
     fetching.await;
     recovering.await;
-    upkeep.await;
+    maintain_metrics.await;
     tracing::info!(event = "entry_stopped", entry = context.settings.id);
     Ok(())
 }
@@ -174,7 +174,7 @@
 }
 
 /// Maintains the metrics recorder until the shutdown signal.
-async fn upkeep(shutdown: Shutdown) {
+async fn maintain_metrics(shutdown: Shutdown) {
     while !runtime::sleep_or_shutdown(METRICS_UPKEEP_INTERVAL, &shutdown).await {
         metrics_handle().run_upkeep();
     }
--- a/crates/entry/src/operator.rs
+++ b/crates/entry/src/operator.rs
@@ -168,7 +168,7 @@
     let Some(repository) = repository(context) else { return store_down() };
     match repository.submit(base, body, &author).await {
         Ok(version) => {
-            config::adopt(context, &repository);
+            config::install_current(context, &repository);
             tracing::info!(event = "config_accepted", version, author);
             reply::json(StatusCode::OK, &json!({"version": version}))
         }
@@ -183,7 +183,7 @@
     author: &str,
     error: SubmitError,
 ) -> Response<Body> {
-    config::adopt(context, repository);
+    config::install_current(context, repository);
     let text = error.to_string();
     tracing::info!(event = "config_rejected", author, error = text);
     match error {
--- a/crates/entry/src/proxy.rs
+++ b/crates/entry/src/proxy.rs
@@ -97,7 +97,7 @@
 /// How a response body ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum BodyEnd {
-    /// The whole body was passed on.
+    /// The whole body was forwarded.
     Complete,
     /// Ended by the shutdown of this entry, at a chunk boundary.
     Drained,
--- a/crates/entry/src/proxy/attempt.rs
+++ b/crates/entry/src/proxy/attempt.rs
@@ -26,7 +26,7 @@
 /// unknown. A few round trips between data centres.
 const PROOF_WAIT: Duration = Duration::from_millis(25);
 /// Timeout of a cancellation message.
-const CANCEL_LIMIT: Duration = Duration::from_secs(1);
+const CANCEL_TIMEOUT: Duration = Duration::from_secs(1);
 /// Value of the `Retry-After` header when no agent gave one.
 pub const RETRY_AFTER: Duration = Duration::from_secs(1);
 
@@ -119,8 +119,8 @@
     outcome
 }
 
-/// Connects to the agent, sends the request, and cancels it at the deadline or when the caller is
-/// gone.
+/// Connects to the agent, sends the request, and cancels it at the deadline or when the caller
+/// closes the connection.
 async fn dispatch<S: Store>(
     context: &Arc<Context<S>>,
     call: &Call,
@@ -259,7 +259,7 @@
     let (peers, address) = (context.peers.clone(), target.address.clone());
     let (sender, receiver) = async_channel::bounded(1);
     runtime::spawn(async move {
-        let result = peers.call(&address, "cancel", &Cancel { id }, CANCEL_LIMIT).await;
+        let result = peers.call(&address, "cancel", &Cancel { id }, CANCEL_TIMEOUT).await;
         if let Err(error) = &result {
             tracing::debug!(event = "cancel_failed", %error);
         }
--- a/crates/entry/src/proxy/call.rs
+++ b/crates/entry/src/proxy/call.rs
@@ -127,7 +127,7 @@
 }
 
 fn refuse(status: StatusCode, text: impl Into<String>) -> Box<Response<Body>> {
-    Box::new(reply::refused(status, text))
+    Box::new(reply::rejected(status, text))
 }
 
 /// Splits `/s/<service>/<path>?<query>` into the service and the upstream's path and query.
--- a/crates/entry/src/proxy/keyed.rs
+++ b/crates/entry/src/proxy/keyed.rs
@@ -20,7 +20,7 @@
 use peridotfold_wire::shutdown::Shutdown;
 
 use crate::context::Context;
-use crate::lists;
+use crate::key_lists;
 use crate::proxy::attempt::{self, InFlight, Outcome, RETRY_AFTER};
 use crate::proxy::call::Call;
 use crate::proxy::upload::SharedUpload;
@@ -45,7 +45,7 @@
         Decision::Probe { generation, witnesses } => {
             let limit = PROBE_TIMEOUT.min(call.remaining());
             let probing = probe(context, &call.service, key, witnesses, limit);
-            let fetching = future::or(lists::fetch(context), runtime::sleep(limit));
+            let fetching = future::or(key_lists::fetch_missing(context), runtime::sleep(limit));
             let (results, ()) = future::zip(probing, fetching).await;
             decide_probed(context, call, key, generation, &results)
         }
--- a/crates/entry/src/reply.rs
+++ b/crates/entry/src/reply.rs
@@ -36,16 +36,16 @@
 /// Returns a JSON response.
 pub fn json(status: StatusCode, value: &impl Serialize) -> Response<Body> {
     match serde_json::to_vec(value) {
-        Ok(bytes) => typed(status, "application/json", bytes),
+        Ok(bytes) => with_content_type(status, "application/json", bytes),
         Err(error) => {
             tracing::error!(event = "encode_failed", %error);
-            typed(StatusCode::INTERNAL_SERVER_ERROR, "text/plain", Vec::new())
+            with_content_type(StatusCode::INTERNAL_SERVER_ERROR, "text/plain", Vec::new())
         }
     }
 }
 
 /// Returns a response with a body of the given content type.
-pub fn typed(
+pub fn with_content_type(
     status: StatusCode,
     content: &'static str,
     body: impl Into<bytes::Bytes>,
@@ -67,7 +67,7 @@
         RefuseReason::Quota => StatusCode::TOO_MANY_REQUESTS,
         _ => StatusCode::SERVICE_UNAVAILABLE,
     };
-    let mut response = refused(status, format!("not run: {}", describe_reason(reason)));
+    let mut response = rejected(status, format!("not run: {}", describe_reason(reason)));
     // The header has whole seconds; zero would invite an immediate retry.
     let seconds = retry_after.as_millis().div_ceil(1_000).max(1) as u64;
     response.headers_mut().insert(RETRY_AFTER, HeaderValue::from(seconds));
@@ -75,7 +75,7 @@
 }
 
 /// Returns an error response with the outcome `not-run`.
-pub fn refused(status: StatusCode, text: impl Into<String>) -> Response<Body> {
+pub fn rejected(status: StatusCode, text: impl Into<String>) -> Response<Body> {
     let mut response = error(status, text);
     response.headers_mut().insert(headers::OUTCOME, HeaderValue::from_static("not-run"));
     response
--- a/crates/entry/tests/contract.rs
+++ b/crates/entry/tests/contract.rs
@@ -1,5 +1,5 @@
-//! Contract tests of the interfaces of an entry. Each suite runs against a fake and against the real
-//! processes, so that other tests cannot rely on behaviour that only the fake has.
+//! Contract tests of the interfaces of an entry. Each suite runs against a stand-in and against the
+//! real processes, so that other tests cannot rely on behaviour that only the stand-in has.
 
 #[path = "support/real_agent.rs"]
 mod real_agent;
@@ -92,7 +92,7 @@
     assert_eq!(upstream.executions().len(), 2, "a bid ran twice or not at all");
 }
 
-/// Guards against a fake upstream that behaves differently when reached through an entry and an
+/// Guards against a stand-in upstream that behaves differently when reached through an entry and an
 /// agent.
 #[test]
 fn an_upstream_keeps_its_contract_alone_and_behind_an_entry() {
@@ -187,9 +187,9 @@
         let store = store().await;
         let entry = Entry::configured("entry-1", &store).await;
         let behaviour = Behaviour { proving: true, ..Behaviour::default() };
-        let stand_in = Agent::start("agent-1", &[entry.internal], behaviour).await;
-        agent_contract(&stand_in.address.to_string(), stand_in.incarnation).await;
-        drop(stand_in);
+        let simulated = Agent::start("agent-1", &[entry.internal], behaviour).await;
+        agent_contract(&simulated.address.to_string(), simulated.incarnation).await;
+        drop(simulated);
         let upstream = upstream().await;
         let agent = real_agent::start("agent-2", upstream.address(), vec![entry.internal]).await;
         wait_served(&entry).await;
@@ -240,7 +240,7 @@
     response.headers().get("retry-after").is_some_and(|value| !value.is_empty())
 }
 
-async fn callers_of_stand_in() {
+async fn callers_of_simulated() {
     let store = store().await;
     let entry = Entry::configured("entry-1", &store).await;
     let _stand_in = Agent::start("agent-1", &[entry.internal], Behaviour::default()).await;
@@ -267,7 +267,7 @@
 fn an_entry_keeps_its_contract_with_callers() {
     run(async {
         // Both run concurrently, since a new entry dispatches no keys for 8 s.
-        futures_lite::future::zip(callers_of_stand_in(), callers_of_agent()).await;
+        futures_lite::future::zip(callers_of_simulated(), callers_of_agent()).await;
     });
 }
 
--- a/crates/entry/tests/support/common.rs
+++ b/crates/entry/tests/support/common.rs
@@ -1,4 +1,4 @@
-//! Entries with a fake store, and helpers for their tests.
+//! Entries with a stand-in for the store, and helpers for their tests.
 
 #![allow(dead_code)]
 
@@ -187,7 +187,7 @@
     }
 }
 
-/// Starts a fake store.
+/// Starts a stand-in for the store.
 pub async fn store() -> store::Store {
     store::Store::start(store::Options::default()).await.expect("the store starts")
 }
