--- a/crates/entry/src/cells.rs
+++ b/crates/entry/src/cells.rs
@@ -125,17 +125,17 @@
 
     /// Takes over cells and owns them until the shutdown signal, then releases them.
     ///
-    /// `documents` returns the configuration in effect, `alive` the live entries, and `store_ok`
+    /// `documents` returns the configuration in effect, `alive` the live entries, and `store_silence`
     /// the time since the store last accepted a heartbeat.
     pub async fn run(
         &self,
         documents: impl Fn() -> Arc<Document> + Send + Sync + 'static,
         alive: impl Fn() -> Vec<EntryView> + Send + Sync + 'static,
-        store_ok: impl Fn() -> Duration + Send + Sync + 'static,
+        store_silence: impl Fn() -> Duration + Send + Sync + 'static,
         shutdown: Shutdown,
     ) {
         loop {
-            self.shared.store_down.store(store_ok() > STORE_DOWN_AFTER, Ordering::Relaxed);
+            self.shared.store_down.store(store_silence() > STORE_DOWN_AFTER, Ordering::Relaxed);
             let document = documents();
             *self.shared.document.lock() = document.clone();
             self.update_owned(&document);
--- a/crates/entry/src/cells/jobs.rs
+++ b/crates/entry/src/cells/jobs.rs
@@ -75,10 +75,10 @@
         false => forward.team.clone(),
     };
     let Some(team) = team else {
-        return reply(422, &json!({"error": "operators name the team", "field": "team"}));
+        return reply(422, &json!({"error": "an operator must name the team", "field": "team"}));
     };
     if store_down {
-        return unavailable("the store is down; the job was not taken");
+        return unavailable("the store is down; the job was not accepted");
     }
     let spec = JobSpec {
         id: submission.id,
--- a/crates/entry/src/internal.rs
+++ b/crates/entry/src/internal.rs
@@ -30,7 +30,9 @@
         match kind.as_str() {
             "announce" => match self.announce(first_message(&mut receiver).await?) {
                 Some(reply) => responder.reply(&reply).await,
-                None => responder.refuse(StatusCode::CONFLICT, "older than known".into()),
+                None => {
+                    responder.refuse(StatusCode::CONFLICT, "a newer announcement is known".into())
+                }
             },
             "relay" => {
                 self.record_relayed(first_message(&mut receiver).await?);
@@ -152,7 +154,11 @@
 async fn first_message<T: DeserializeOwned>(receiver: &mut FrameReceiver) -> Result<T, WireError> {
     match receiver.next().await? {
         Some(message) => Ok(message),
-        None => Err(WireError::new(Step::Receive, receiver.peer(), "stream without a message")),
+        None => Err(WireError::new(
+            Step::Receive,
+            receiver.peer(),
+            "the stream ended before its first message",
+        )),
     }
 }
 
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -57,16 +57,16 @@
 pub async fn run(settings: Settings) -> eyre::Result<()> {
     let store = HttpStore::new(settings.store, STORE_TIMEOUT);
     let (trigger, shutdown) = shutdown::channel();
-    let serving = runtime::spawn(serve(settings, store, shutdown, print_addresses));
+    let http_task = runtime::spawn(serve(settings, store, shutdown, print_addresses));
     let stopped = future::or(async { Some(runtime::terminated().await) }, async {
-        wait_finished(&serving).await;
+        wait_finished(&http_task).await;
         None
     });
     if let Some(result) = stopped.await {
         result.wrap_err("step=signals")?;
     }
     trigger.fire();
-    serving.await
+    http_task.await
 }
 
 async fn wait_finished<T>(task: &smol::Task<T>) {
@@ -102,47 +102,47 @@
         .wrap_err_with(|| format!("step=bind peer={}", settings.internal))?;
     ready(http.address(), internal.address());
     let (drain, drained) = shutdown::channel();
-    let reached_at = settings.advertise.unwrap_or(internal.address());
-    let context = Arc::new(Context::new(settings, http.address(), reached_at, store, drained));
+    let reachable_at = settings.advertise.unwrap_or(internal.address());
+    let context = Arc::new(Context::new(settings, http.address(), reachable_at, store, drained));
     // The stages of the shutdown end one after the other, since requests need the cells,
     // announcements and heartbeats until their end.
-    let (requests, requests_end) = shutdown::channel();
-    let (cells, cells_end) = shutdown::channel();
-    let (rest, rest_end) = shutdown::channel();
+    let (stop_requests, requests_end) = shutdown::channel();
+    let (stop_cells, cells_end) = shutdown::channel();
+    let (stop_rest, rest_end) = shutdown::channel();
     let service = HttpHandler { context: context.clone(), metrics: metrics_handle() };
-    let serving = runtime::spawn(http.serve(Arc::new(service), requests_end));
-    let owning = runtime::spawn(own_cells(context.clone(), cells_end));
+    let http_task = runtime::spawn(http.serve(Arc::new(service), requests_end));
+    let cells_task = runtime::spawn(own_cells(context.clone(), cells_end));
     let handler = Arc::new(InternalHandler { context: context.clone() });
-    let handling = runtime::spawn(internal.serve(handler, rest_end.clone()));
+    let internal_task = runtime::spawn(internal.serve(handler, rest_end.clone()));
     let heartbeat_task = runtime::spawn(Heartbeats::new(context.clone()).run(rest_end.clone()));
-    let following = runtime::spawn(config::run(context.clone(), rest_end.clone()));
-    let relaying = runtime::spawn(relay::run(context.clone(), rest_end.clone()));
-    let fetching = runtime::spawn(key_lists::run(context.clone(), rest_end.clone()));
-    let recovering = runtime::spawn(recovery::run(context.clone(), rest_end.clone()));
-    let maintain_metrics = runtime::spawn(maintain_metrics(rest_end));
+    let config_task = runtime::spawn(config::run(context.clone(), rest_end.clone()));
+    let relay_task = runtime::spawn(relay::run(context.clone(), rest_end.clone()));
+    let key_list_task = runtime::spawn(key_lists::run(context.clone(), rest_end.clone()));
+    let recovery_task = runtime::spawn(recovery::run(context.clone(), rest_end.clone()));
+    let metrics_task = runtime::spawn(maintain_metrics(rest_end));
     tracing::info!(event = "entry_started", entry = context.settings.id, id = context.incarnation);
 
     shutdown.wait().await;
     tracing::info!(event = "entry_stopping", entry = context.settings.id);
     context.set_stopping();
-    requests.fire();
-    let draining = runtime::spawn(async move {
+    stop_requests.fire();
+    let drain_task = runtime::spawn(async move {
         runtime::sleep(DRAIN_GRACE).await;
         drain.fire();
     });
-    serving.await;
-    drop(draining);
-    cells.fire();
-    owning.await;
-    rest.fire();
+    http_task.await;
+    drop(drain_task);
+    stop_cells.fire();
+    cells_task.await;
+    stop_rest.fire();
     heartbeat_task.await.write_last_heartbeat().await;
     // Connections to failed hosts never end.
-    future::or(handling, runtime::sleep(CLOSE_TIMEOUT)).await;
-    following.await;
-    relaying.await;
-    fetching.await;
-    recovering.await;
-    maintain_metrics.await;
+    future::or(internal_task, runtime::sleep(CLOSE_TIMEOUT)).await;
+    config_task.await;
+    relay_task.await;
+    key_list_task.await;
+    recovery_task.await;
+    metrics_task.await;
     tracing::info!(event = "entry_stopped", entry = context.settings.id);
     Ok(())
 }
--- a/crates/entry/src/proxy.rs
+++ b/crates/entry/src/proxy.rs
@@ -47,7 +47,10 @@
         .detach();
     let mut response = match receiver.recv().await {
         Ok(response) => response,
-        Err(_) => reply::unknown(StatusCode::BAD_GATEWAY, reply::ErrorBody::new("task ended")),
+        Err(_) => reply::unknown(
+            StatusCode::BAD_GATEWAY,
+            reply::ErrorBody::new("the request task ended without a response"),
+        ),
     };
     if let Ok(value) = HeaderValue::from_str(&trace::format(&trace)) {
         response.headers_mut().insert(trace::HEADER, value);
--- a/crates/entry/src/proxy/attempt.rs
+++ b/crates/entry/src/proxy/attempt.rs
@@ -200,7 +200,7 @@
         None => Err(WireError::new(
             peridotfold_wire::error::Step::Receive,
             target.address.as_str(),
-            "stream ended without a head",
+            "the stream ended before the response head",
         )),
     }
 }
--- a/crates/entry/tests/cells.rs
+++ b/crates/entry/tests/cells.rs
@@ -157,11 +157,11 @@
             pressure_percent: 0,
         };
         let Ok(orders) = entry.cells.report(report).await else { return false };
-        self.obey(orders);
+        self.apply_orders(orders);
         true
     }
 
-    fn obey(&mut self, orders: Orders) {
+    fn apply_orders(&mut self, orders: Orders) {
         self.epoch = self.epoch.max(orders.epoch);
         for id in orders.acknowledged {
             self.results.remove(&format!("{id:?}"));
@@ -314,7 +314,7 @@
 
 /// Submits (`POST`) or cancels (`DELETE`) 10,000 jobs concurrently, repeating each call until it is
 /// answered with another status than 503.
-async fn for_all(entry: &Arc<Entry>, method: &'static str) {
+async fn call_for_all(entry: &Arc<Entry>, method: &'static str) {
     let mut left: Vec<usize> = (0..10_000).collect();
     let deadline = runtime::now() + 2 * LIMIT;
     while !left.is_empty() {
@@ -348,7 +348,7 @@
         let (store, alive) = (store().await, Alive::default());
         let first = Arc::new(entry("a", 1, &store, &alive));
         until_owned(&first).await;
-        for_all(&first, "POST").await;
+        call_for_all(&first, "POST").await;
         alive.lock().clear();
         let second = Arc::new(entry("b", 2, &store, &alive));
         until_owned(&second).await;
@@ -357,7 +357,7 @@
         agent.report(&second).await;
         let cancelling = {
             let second = second.clone();
-            runtime::spawn(async move { for_all(&second, "DELETE").await })
+            runtime::spawn(async move { call_for_all(&second, "DELETE").await })
         };
         let list = || call(&second, "GET", "", Some("red"), Value::Null);
         while !list().await.body.windows(10).any(|text| text == b"cancelling") {
--- a/crates/entry/tests/contract.rs
+++ b/crates/entry/tests/contract.rs
@@ -15,7 +15,7 @@
     BodyFrame, Cancel, CancelReply, RefuseReason, RequestHead, RequestId, ResponseHead,
     TraceContext,
 };
-use peridotfold_standins::upstream::{answers, Behaviour as Pace, Options, Upstream};
+use peridotfold_standins::upstream::{answers, Behaviour as UpstreamBehaviour, Options, Upstream};
 use peridotfold_wire::body::Body;
 use peridotfold_wire::error::{Step, WireError};
 use peridotfold_wire::http_client::HttpClient;
@@ -27,7 +27,7 @@
 const LIMIT: Duration = Duration::from_secs(10);
 
 async fn upstream() -> Upstream {
-    let behaviour = Pace { base_ms: 0.0, jitter: 0.0, ..Pace::default() };
+    let behaviour = UpstreamBehaviour { base_ms: 0.0, jitter: 0.0, ..UpstreamBehaviour::default() };
     Upstream::start(Options { behaviour, ..Options::default() }).await.expect("the upstream starts")
 }
 
@@ -40,12 +40,12 @@
 }
 
 /// Address of an upstream, or of an entry with the path prefix of the upstream's service.
-struct Pages {
+struct UpstreamPath {
     address: SocketAddr,
     prefix: &'static str,
 }
 
-impl Pages {
+impl UpstreamPath {
     async fn send(
         &self,
         method: Method,
@@ -64,7 +64,7 @@
 
 /// Checks what callers get from an upstream: complete answers with the right status, and an error
 /// for a truncated answer.
-async fn upstream_contract(upstream: &Upstream, pages: Pages) {
+async fn upstream_contract(upstream: &Upstream, upstream_path: UpstreamPath) {
     let padded = format!("execution 2 of bid\n{}", "x".repeat(300_000 - 19));
     let cases = [
         (Method::GET, "/slot/7?week=2", "", 200, answers::slot_body("/slot/7?week=2")),
@@ -76,15 +76,16 @@
         (Method::DELETE, "/absent", "", 404, "no such page\n".to_owned()),
     ];
     for (method, path, body, status, expected) in cases {
-        let response = pages.send(method, path, body).await.expect(path);
+        let response = upstream_path.send(method, path, body).await.expect(path);
         assert_eq!(response.status(), status, "{path}");
         assert!(response.body() == expected.as_bytes(), "{path}: {:?}", response.body());
     }
-    let cut = pages.send(Method::GET, "/feed?cut=2&period_ms=1", "").await;
+    let cut = upstream_path.send(Method::GET, "/feed?cut=2&period_ms=1", "").await;
     assert!(cut.is_err(), "a cut feed looks whole: {cut:?}");
-    let failing = Pace { fail_fraction: 1.0, base_ms: 0.0, ..Pace::default() };
+    let failing =
+        UpstreamBehaviour { fail_fraction: 1.0, base_ms: 0.0, ..UpstreamBehaviour::default() };
     upstream.set_behaviour(failing);
-    let failed = pages.send(Method::GET, "/slot/1", "").await.expect("an answer");
+    let failed = upstream_path.send(Method::GET, "/slot/1", "").await.expect("an answer");
     assert_eq!(
         (failed.status().as_u16(), failed.body().as_ref()),
         (500, &b"failed as configured\n"[..])
@@ -98,13 +99,13 @@
 fn an_upstream_keeps_its_contract_alone_and_behind_an_entry() {
     run(async {
         let alone = upstream().await;
-        upstream_contract(&alone, Pages { address: alone.address(), prefix: "" }).await;
+        upstream_contract(&alone, UpstreamPath { address: alone.address(), prefix: "" }).await;
         let store = store().await;
         let entry = Entry::configured("entry-1", &store).await;
         let routed = upstream().await;
         let agent = real_agent::start("agent-1", routed.address(), vec![entry.internal]).await;
         wait_served(&entry).await;
-        upstream_contract(&routed, Pages { address: entry.http, prefix: "/s/open" }).await;
+        upstream_contract(&routed, UpstreamPath { address: entry.http, prefix: "/s/open" }).await;
         agent.drain().await;
         entry.stop().await;
     });
--- a/crates/entry/tests/history.rs
+++ b/crates/entry/tests/history.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use history::{check, End, Fact, Violation};
+use history::{check, End, HistoryEvent, Violation};
 use http::{Method, Request, Response};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -31,7 +31,7 @@
 const CLIENTS: u64 = 8;
 const LIMIT: Duration = Duration::from_secs(5);
 
-type Log = Arc<Mutex<Vec<Fact>>>;
+type Log = Arc<Mutex<Vec<HistoryEvent>>>;
 
 /// An upstream that records its executions.
 struct Upstream {
@@ -44,7 +44,7 @@
         let key = request.headers()["idempotency-key"].to_str().expect("text").to_owned();
         let _ = request.into_body().collect().await;
         let text = format!("{key} run {}", self.runs.fetch_add(1, Ordering::Relaxed));
-        self.log.lock().push(Fact::Executed { key, text: text.clone() });
+        self.log.lock().push(HistoryEvent::Executed { key, text: text.clone() });
         runtime::sleep(Duration::from_millis(fastrand::u64(1..40))).await;
         Response::new(Body::full(text))
     }
@@ -80,7 +80,7 @@
     async fn send(&self, client: &HttpClient, entry: usize, key: &str, timeout: u64) -> End {
         let request = self.numbers.fetch_add(1, Ordering::Relaxed);
         let address = self.entries.lock()[entry];
-        self.log.lock().push(Fact::Invoked { request, key: key.into() });
+        self.log.lock().push(HistoryEvent::Invoked { request, key: key.into() });
         let sent = Request::builder()
             .method(Method::POST)
             .uri("/s/open/bid")
@@ -104,7 +104,7 @@
             Ok(response) if support::outcome(&response) == "not-run" => End::NotRun,
             Ok(_) | Err(_) => End::Unknown,
         };
-        self.log.lock().push(Fact::Ended { request, end: end.clone() });
+        self.log.lock().push(HistoryEvent::Ended { request, end: end.clone() });
         end
     }
 
@@ -208,9 +208,9 @@
         }
         let history = log.lock().clone();
         let count = |wanted: fn(&End) -> bool| {
-            let ends = history.iter().filter_map(|fact| match fact {
-                Fact::Ended { end, .. } => Some(end),
-                Fact::Invoked { .. } | Fact::Executed { .. } => None,
+            let ends = history.iter().filter_map(|event| match event {
+                HistoryEvent::Ended { end, .. } => Some(end),
+                HistoryEvent::Invoked { .. } | HistoryEvent::Executed { .. } => None,
             });
             ends.filter(|end| wanted(end)).count()
         };
@@ -220,18 +220,20 @@
             count(|end| *end == End::Unknown),
         );
         println!("answered, not run, unknown: {counts:?}");
-        if let Err((violation, place)) = check(&history) {
-            let key = history::key_of(&history, place);
-            for (place, fact) in history.iter().enumerate() {
-                let detail = match fact {
-                    Fact::Ended { request, .. } => clients.details.lock().get(request).cloned(),
-                    Fact::Invoked { .. } | Fact::Executed { .. } => None,
+        if let Err((violation, index)) = check(&history) {
+            let key = history::key_of(&history, index);
+            for (index, event) in history.iter().enumerate() {
+                let detail = match event {
+                    HistoryEvent::Ended { request, .. } => {
+                        clients.details.lock().get(request).cloned()
+                    }
+                    HistoryEvent::Invoked { .. } | HistoryEvent::Executed { .. } => None,
                 };
-                if history::key_of(&history, place) == key {
-                    println!("{place} {fact:?} {}", detail.unwrap_or_default());
+                if history::key_of(&history, index) == key {
+                    println!("{index} {event:?} {}", detail.unwrap_or_default());
                 }
             }
-            panic!("{violation:?} at {place}: {:?}", history[place]);
+            panic!("{violation:?} at {index}: {:?}", history[index]);
         }
         assert!(counts.0 > 100 && counts.1 > 0 && counts.2 > 0, "too little happened: {counts:?}");
         drop(agents);
@@ -243,12 +245,12 @@
 /// Guards against a history check that accepts every history.
 #[test]
 fn bad_histories_are_rejected() {
-    let invoked = |request, key: &str| Fact::Invoked { request, key: key.into() };
+    let invoked = |request, key: &str| HistoryEvent::Invoked { request, key: key.into() };
     let executed =
-        |key: &str, text: &str| Fact::Executed { key: key.into(), text: text.to_owned() };
+        |key: &str, text: &str| HistoryEvent::Executed { key: key.into(), text: text.to_owned() };
     let answered =
-        |request, text: &str| Fact::Ended { request, end: End::Answered(text.to_owned()) };
-    let not_run = |request| Fact::Ended { request, end: End::NotRun };
+        |request, text: &str| HistoryEvent::Ended { request, end: End::Answered(text.to_owned()) };
+    let not_run = |request| HistoryEvent::Ended { request, end: End::NotRun };
     let good = vec![
         invoked(1, "a"),
         not_run(1),
@@ -288,7 +290,7 @@
         ),
     ];
     for (violation, history) in bad {
-        let place = history.len() - 1;
-        assert_eq!(check(&history), Err((violation, place)), "{history:?}");
+        let index = history.len() - 1;
+        assert_eq!(check(&history), Err((violation, index)), "{history:?}");
     }
 }
--- a/crates/entry/tests/relay.rs
+++ b/crates/entry/tests/relay.rs
@@ -29,16 +29,17 @@
 }
 
 /// Returns the state of the agent as shown by each entry, empty if unknown there.
-async fn states(entries: &[Entry]) -> Vec<String> {
-    let mut states = Vec::new();
+async fn agent_states(entries: &[Entry]) -> Vec<String> {
+    let mut agent_states = Vec::new();
     for entry in entries {
         let response = entry.operator(Method::GET, "/v1/status", "").await;
         let status: serde_json::Value = serde_json::from_slice(response.body()).expect("JSON");
         let list = status["upstreams"].as_array().expect("a list").clone();
         let known = list.iter().find(|upstream| upstream["agent"] == AGENT);
-        states.push(known.map_or(String::new(), |u| u["state"].as_str().unwrap_or("").to_owned()));
+        agent_states
+            .push(known.map_or(String::new(), |u| u["state"].as_str().unwrap_or("").to_owned()));
     }
-    states
+    agent_states
 }
 
 /// Guards against entries that do not learn of an agent because they are not its home entries, and
@@ -74,7 +75,7 @@
             let entries = &entries;
             async move {
                 announce(peers, &message, addresses).await;
-                states(entries).await.iter().all(|state| state == "ready")
+                agent_states(entries).await.iter().all(|state| state == "ready")
             }
         })
         .await;
@@ -83,7 +84,7 @@
         let left = runtime::now();
         announce(&peers, &message, &addresses).await;
         until("each entry knows that the agent leaves", || async {
-            states(&entries).await.iter().all(|state| state != "ready")
+            agent_states(&entries).await.iter().all(|state| state != "ready")
         })
         .await;
         let elapsed = runtime::now() - left;
--- a/crates/entry/tests/support/agent.rs
+++ b/crates/entry/tests/support/agent.rs
@@ -39,7 +39,7 @@
 }
 
 /// Handles the messages of entries.
-struct Answers {
+struct AgentHandler {
     log: Arc<Mutex<Log>>,
     /// Refuses every request.
     refusing: bool,
@@ -65,7 +65,7 @@
         let log = Arc::new(Mutex::new(Log::default()));
         let (trigger, stop) = shutdown::channel();
         let Behaviour { refusing, proving } = behaviour;
-        let answers = Arc::new(Answers { log: log.clone(), refusing, proving });
+        let answers = Arc::new(AgentHandler { log: log.clone(), refusing, proving });
         runtime::spawn(server.serve(answers, stop.clone())).detach();
         let incarnation = fastrand::u64(1..);
         for entry in entries {
@@ -117,7 +117,7 @@
     }
 }
 
-impl Answers {
+impl AgentHandler {
     fn cancel(&self, cancel: Option<Cancel>) -> CancelReply {
         let mut log = self.log.lock();
         log.cancels += 1;
@@ -131,7 +131,7 @@
     }
 }
 
-impl Handler for Answers {
+impl Handler for AgentHandler {
     async fn handle(&self, stream: Stream) -> Result<(), WireError> {
         let Stream { kind, mut receiver, responder } = stream;
         let head = match kind.as_str() {
@@ -168,9 +168,9 @@
             }
             "/slow" => {
                 runtime::sleep(Duration::from_millis(800)).await;
-                return whole(&mut sender).await;
+                return answer_whole(&mut sender).await;
             }
-            _ => return whole(&mut sender).await,
+            _ => return answer_whole(&mut sender).await,
         }
         // Keeps the stream open without an answer.
         let _ = receiver.next::<BodyFrame>().await;
@@ -179,7 +179,7 @@
     }
 }
 
-async fn whole(sender: &mut FrameSender) -> Result<(), WireError> {
+async fn answer_whole(sender: &mut FrameSender) -> Result<(), WireError> {
     sender.send(&answer(200)).await?;
     sender.send(&BodyFrame::Data(Bytes::from_static(b"answer"))).await?;
     sender.send(&BodyFrame::End).await?;
--- a/crates/entry/tests/support/history.rs
+++ b/crates/entry/tests/support/history.rs
@@ -15,7 +15,7 @@
 
 /// One event of a history.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Fact {
+pub enum HistoryEvent {
     /// A client sent a request.
     Invoked { request: u64, key: String },
     /// An upstream ran a request with the key and answers `text`.
@@ -41,7 +41,7 @@
 struct Key {
     executed: Option<String>,
     /// Number of requests with the key that have not ended as not run.
-    possible: u32,
+    maybe_run: u32,
 }
 
 /// Checks a history.
@@ -49,27 +49,27 @@
 /// # Errors
 ///
 /// Returns the first violation and the index of its event.
-pub fn check(history: &[Fact]) -> Result<(), (Violation, usize)> {
+pub fn check(history: &[HistoryEvent]) -> Result<(), (Violation, usize)> {
     let mut keys: HashMap<&str, Key> = HashMap::new();
     // Key of each open request, and whether the key had run before the request was sent.
     let mut requests: HashMap<u64, (&str, bool)> = HashMap::new();
-    for (place, fact) in history.iter().enumerate() {
-        let violation = match fact {
-            Fact::Invoked { request, key } => {
+    for (index, event) in history.iter().enumerate() {
+        let violation = match event {
+            HistoryEvent::Invoked { request, key } => {
                 let state = keys.entry(key).or_default();
-                state.possible += 1;
+                state.maybe_run += 1;
                 requests.insert(*request, (key, state.executed.is_some()));
                 None
             }
-            Fact::Executed { key, text } => {
+            HistoryEvent::Executed { key, text } => {
                 let state = keys.entry(key).or_default();
                 match state.executed.replace(text.clone()) {
                     Some(_) => Some(Violation::ExecutedTwice),
-                    None if state.possible == 0 => Some(Violation::ExecutedAfterNotRun),
+                    None if state.maybe_run == 0 => Some(Violation::ExecutedAfterNotRun),
                     None => None,
                 }
             }
-            Fact::Ended { request, end } => {
+            HistoryEvent::Ended { request, end } => {
                 let (key, had_run) = requests.remove(request).expect("the request was invoked");
                 let state = keys.entry(key).or_default();
                 match end {
@@ -78,7 +78,7 @@
                     }
                     End::NotRun if had_run => Some(Violation::NotRunAfterExecution),
                     End::NotRun => {
-                        state.possible -= 1;
+                        state.maybe_run -= 1;
                         None
                     }
                     End::Answered(_) | End::Unknown => None,
@@ -86,19 +86,19 @@
             }
         };
         if let Some(violation) = violation {
-            return Err((violation, place));
+            return Err((violation, index));
         }
     }
     Ok(())
 }
 
 /// Returns the key of the event at an index.
-pub fn key_of(history: &[Fact], place: usize) -> &str {
-    match &history[place] {
-        Fact::Invoked { key, .. } | Fact::Executed { key, .. } => key,
-        Fact::Ended { request: ended, .. } => {
-            let keys = history.iter().filter_map(|fact| match fact {
-                Fact::Invoked { request, key } if request == ended => Some(key.as_str()),
+pub fn key_of(history: &[HistoryEvent], index: usize) -> &str {
+    match &history[index] {
+        HistoryEvent::Invoked { key, .. } | HistoryEvent::Executed { key, .. } => key,
+        HistoryEvent::Ended { request: ended, .. } => {
+            let keys = history.iter().filter_map(|event| match event {
+                HistoryEvent::Invoked { request, key } if request == ended => Some(key.as_str()),
                 _ => None,
             });
             keys.fold("", |_, key| key)
