--- a/crates/entry/src/auth.rs
+++ b/crates/entry/src/auth.rs
@@ -36,12 +36,14 @@
     }
 }
 
+/// Returns the token of an `Authorization` header with the bearer scheme.
 fn bearer_token(value: &[u8]) -> Option<&[u8]> {
     const SCHEME: &[u8] = b"bearer ";
     let (scheme, token) = value.split_at_checked(SCHEME.len())?;
     scheme.eq_ignore_ascii_case(SCHEME).then(|| token.trim_ascii())
 }
 
+/// Formats bytes as lower-case hex.
 fn hex(bytes: &[u8]) -> String {
     use std::fmt::Write as _;
     bytes.iter().fold(String::with_capacity(bytes.len() * 2), |mut text, byte| {
--- a/crates/entry/src/cells.rs
+++ b/crates/entry/src/cells.rs
@@ -125,8 +125,8 @@
 
     /// Takes over cells and owns them until the shutdown signal, then releases them.
     ///
-    /// `documents` returns the configuration in effect, `alive` the live entries, and `store_silence`
-    /// the time since the store last accepted a heartbeat.
+    /// `documents` returns the configuration in effect, `alive` the live entries, and
+    /// `store_silence` the time since the store last accepted a heartbeat.
     pub async fn run(
         &self,
         documents: impl Fn() -> Arc<Document> + Send + Sync + 'static,
@@ -168,8 +168,8 @@
         metrics::gauge!("cells_owned").set(owned_cells.len() as f64);
     }
 
-    /// Answers the report of an agent: at once if there are orders for the agent, otherwise after at
-    /// most 1 s.
+    /// Answers the report of an agent: at once if there are orders for the agent, otherwise after
+    /// at most 1 s.
     ///
     /// # Errors
     ///
@@ -208,11 +208,13 @@
         owned_cells.iter().flat_map(|owned| owned.workers()).collect()
     }
 
+    /// Returns a cell that this entry owns.
     fn owned_cell(&self, cell: &str) -> Result<Arc<OwnedCell<S>>, CellError> {
         let owned = self.shared.owned_cells.lock().get(cell).cloned();
         owned.filter(|owned| !owned.has_ended()).ok_or_else(|| self.not_owner(cell))
     }
 
+    /// Returns the error for a cell that this entry does not own.
     fn not_owner(&self, cell: &str) -> CellError {
         let owner = self.owner(cell);
         CellError::NotOwner(owner.filter(|owner| owner.entry != self.shared.entry))
--- a/crates/entry/src/cells/jobs.rs
+++ b/crates/entry/src/cells/jobs.rs
@@ -61,6 +61,7 @@
     }
 }
 
+/// Submits a job and waits for the commit.
 async fn submit<S: Store>(
     owned: &OwnedCell<S>,
     forward: &Forward,
@@ -110,6 +111,7 @@
     }
 }
 
+/// Requests the cancellation of a job and waits for the commit.
 async fn cancel<S: Store>(
     owned: &OwnedCell<S>,
     team: Option<&str>,
@@ -135,6 +137,7 @@
     }
 }
 
+/// Returns a job as a reply with `status`, or 404 if the team has no such job.
 fn show<S: Store>(owned: &OwnedCell<S>, team: Option<&str>, id: &str, status: u16) -> ForwardReply {
     match owned.with_state(|state| state.cell.show(&owned.id, team, id)) {
         Some(view) => reply(status, &view),
@@ -161,6 +164,7 @@
     }
 }
 
+/// Returns the reply to a job with invalid fields.
 fn invalid(problems: &[(&'static str, String)]) -> ForwardReply {
     let texts = problems.iter().map(|(field, detail)| format!("{field} {detail}"));
     let error = texts.collect::<Vec<_>>().join("; ");
@@ -168,6 +172,7 @@
     reply(422, &json!({"error": error, "field": field}))
 }
 
+/// Returns the reply to an operation that was not committed.
 fn unavailable(text: &str) -> ForwardReply {
     reply(503, &json!({"error": text, "step": "commit"}))
 }
--- a/crates/entry/src/cells/owned.rs
+++ b/crates/entry/src/cells/owned.rs
@@ -126,8 +126,8 @@
         state.document = Some(document.clone());
     }
 
-    /// Runs `change` on the state, delivers the resulting effects, and wakes the commit task if there
-    /// are uncommitted events.
+    /// Runs `change` on the state, delivers the resulting effects, and wakes the commit task if
+    /// there are uncommitted events.
     pub fn with_state<T>(&self, change: impl FnOnce(&mut OwnedState) -> T) -> T {
         let mut state = self.state.lock();
         let result = change(&mut state);
@@ -138,7 +138,8 @@
         result
     }
 
-    /// Processes a report and returns the answer, or `None` when this entry no longer owns the cell.
+    /// Processes a report and returns the answer, or `None` when this entry no longer owns the
+    /// cell.
     pub async fn report(self: &Arc<Self>, report: Report) -> Option<Orders> {
         let now = runtime::now();
         let received = self.with_state(|state| state.cell.report(now, &report));
@@ -384,6 +385,7 @@
     }
 }
 
+/// Logs one committed event under its name.
 fn log_event(cell: &str, epoch: Epoch, event: &'static str, record: &Event) {
     let log_attempt = |attempt: &AttemptId, detail: &str| {
         let AttemptId { job, task, token } = attempt;
--- a/crates/entry/src/cells/takeover.rs
+++ b/crates/entry/src/cells/takeover.rs
@@ -67,8 +67,8 @@
     }
 }
 
-/// Tells whether the list of live entries contains this entry. Before the first successful list, the
-/// list is empty and every owner would count as dead.
+/// Tells whether the list of live entries contains this entry. Before the first successful list,
+/// the list is empty and every owner would count as dead.
 fn is_self_listed<S: Store>(shared: &Shared<S>, alive: &[EntryView]) -> bool {
     alive.iter().any(|view| view.incarnation == shared.incarnation)
 }
--- a/crates/entry/src/config.rs
+++ b/crates/entry/src/config.rs
@@ -74,7 +74,8 @@
     runtime::sleep(RETRY_PAUSE).await;
 }
 
-/// Requests the configuration from all other entries concurrently; the highest version takes effect.
+/// Requests the configuration from all other entries concurrently; the highest version takes
+/// effect.
 async fn request_from_entries<S: Store>(context: &Arc<Context<S>>) {
     let version = context.current().map_or(0, |current| current.version);
     let known = context.alive().into_iter().map(|view| view.address);
--- a/crates/entry/src/context.rs
+++ b/crates/entry/src/context.rs
@@ -137,8 +137,8 @@
         (announced.0 > version).then(|| announced.1.clone())
     }
 
-    /// Puts a configuration update into effect. `peer` is its source, for the log. Versions that are
-    /// not higher than the one in effect are ignored.
+    /// Puts a configuration update into effect. `peer` is its source, for the log. Versions that
+    /// are not higher than the one in effect are ignored.
     pub fn install(&self, peer: &str, update: &ConfigUpdate) {
         let mut config = self.config.write();
         let state = config.get_or_insert_with(ConfigState::default);
@@ -154,8 +154,8 @@
     }
 
     /// Returns the live entries including this one, or none before the first successful list. An
-    /// empty list is safe: agents keep the entries that they know, and no cell is taken over from an
-    /// owner that merely was not listed yet.
+    /// empty list is safe: agents keep the entries that they know, and no cell is taken over from
+    /// an owner that merely was not listed yet.
     pub fn alive(&self) -> Vec<EntryView> {
         self.members.lock().alive()
     }
--- a/crates/entry/src/heartbeats.rs
+++ b/crates/entry/src/heartbeats.rs
@@ -128,10 +128,10 @@
         }
     }
 
-    /// Runs one heartbeat round. The order matters: the heartbeat is written before the key maps are
-    /// read (see `KeyGate::adopt`), and the key maps are read before the entries are listed (see
-    /// `plan::ServiceView`). Tells whether another round should follow at once, to acknowledge or to
-    /// finish a move.
+    /// Runs one heartbeat round. The order matters: the heartbeat is written before the key maps
+    /// are read (see `KeyGate::adopt`), and the key maps are read before the entries are listed
+    /// (see `plan::ServiceView`). Tells whether another round should follow at once, to acknowledge
+    /// or to finish a move.
     async fn round(&mut self) -> Result<bool, StoreError> {
         let start = runtime::now();
         self.write_heartbeat(false).await?;
@@ -252,7 +252,8 @@
         Ok(listed.iter().filter_map(|(key, found)| decode(key, found)).collect())
     }
 
-    /// Adopts the key maps read in a round that began at `start`. Tells whether a generation changed.
+    /// Adopts the key maps read in a round that began at `start`. Tells whether a generation
+    /// changed.
     fn adopt(&self, start: Duration, maps: &[StoredMap]) -> bool {
         let maps = maps.iter().map(|(service, _, map)| (service.clone(), map.clone())).collect();
         let mut keys = self.context.keys.lock();
@@ -306,7 +307,8 @@
         written
     }
 
-    /// Writes a key map if its version in the store is still `version`. Tells whether that succeeded.
+    /// Writes a key map if its version in the store is still `version`. Tells whether that
+    /// succeeded.
     async fn write_map(&self, service: &str, version: u64, map: KeyMap) -> bool {
         let generation = map.generation;
         let moving = map.is_moving();
--- a/crates/entry/src/jobs.rs
+++ b/crates/entry/src/jobs.rs
@@ -90,6 +90,7 @@
     }
 }
 
+/// Returns all configured cells.
 fn all_cells(document: &Document) -> Vec<CellId> {
     document.cells.keys().cloned().collect()
 }
@@ -226,6 +227,7 @@
     })
 }
 
+/// Converts the result of a job operation to an HTTP response.
 fn respond(result: Result<ForwardReply, Failure>) -> Response<Body> {
     match result {
         Ok(reply) => {
--- a/crates/entry/src/key_lists.rs
+++ b/crates/entry/src/key_lists.rs
@@ -16,8 +16,8 @@
 
 use crate::context::Context;
 
-/// Shortest time between two fetches of missing key lists. Bounds how long a witness must stay alive
-/// after it has adopted a move.
+/// Shortest time between two fetches of missing key lists. Bounds how long a witness must stay
+/// alive after it has adopted a move.
 const RETRY_MIN: Duration = Duration::from_millis(100);
 /// Longest time between two fetches. A list that no entry holds stays missing for the retention
 /// period of keys.
@@ -59,8 +59,8 @@
         if !missing.is_empty() {
             future::or(fetch_missing(&context), shutdown.wait()).await;
         }
-        // Retries soon after the missing lists have changed, since a witness may not have adopted the
-        // move yet.
+        // Retries soon after the missing lists have changed, since a witness may not have adopted
+        // the move yet.
         pause = match missing.is_empty() || missing != before {
             true => RETRY_MIN,
             false => (pause * 2).min(RETRY_MAX),
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -69,6 +69,7 @@
     http_task.await
 }
 
+/// Waits until a task has finished, without taking its result.
 async fn wait_finished<T>(task: &smol::Task<T>) {
     while !task.is_finished() {
         runtime::sleep(Duration::from_millis(50)).await;
--- a/crates/entry/src/operator.rs
+++ b/crates/entry/src/operator.rs
@@ -119,10 +119,12 @@
     }
 }
 
+/// Returns the configuration repository, or `None` before the first contact with the store.
 fn repository<S: Store>(context: &Arc<Context<S>>) -> Option<Arc<ConfigRepository<S>>> {
     context.repository.read().clone()
 }
 
+/// Returns the response with the configuration in effect.
 fn current<S: Store>(context: &Arc<Context<S>>) -> Response<Body> {
     match context.current() {
         Some(current) => {
--- a/crates/entry/src/proxy.rs
+++ b/crates/entry/src/proxy.rs
@@ -163,8 +163,8 @@
     }
 }
 
-/// Waits for the next frame, the end of the caller's connection, or the end of the drain period of a
-/// shutdown.
+/// Waits for the next frame, the end of the caller's connection, or the end of the drain period of
+/// a shutdown.
 async fn receive(
     receiver: &mut FrameReceiver,
     body: &BodySender,
--- a/crates/entry/src/proxy/attempt.rs
+++ b/crates/entry/src/proxy/attempt.rs
@@ -300,11 +300,13 @@
     Outcome::NotRun { reason, retry_after: RETRY_AFTER, reached }
 }
 
+/// Returns the outcome of a request that could not be sent to the agent.
 fn unreachable(error: &WireError) -> Outcome {
     tracing::info!(event = "upstream_unreachable", %error);
     not_run(RefuseReason::UpstreamUnreachable, false)
 }
 
+/// Returns the outcome of a request that may have run when its deadline passed.
 fn deadline_unknown(target: &Target) -> Outcome {
     Outcome::Unknown {
         status: StatusCode::GATEWAY_TIMEOUT,
--- a/crates/entry/src/proxy/call.rs
+++ b/crates/entry/src/proxy/call.rs
@@ -25,7 +25,8 @@
 /// Error for a request with a key while this entry has no configuration. Before that, it cannot ask
 /// other entries whether they have dispatched the key.
 const NO_CONFIG_TEXT: &str = "no configuration yet; an earlier request with this key may have run";
-/// Longest timeout of a request; longer ones are shortened, so that time arithmetic cannot overflow.
+/// Longest timeout of a request; longer ones are shortened, so that time arithmetic cannot
+/// overflow.
 const MAX_TIMEOUT: Duration = Duration::from_secs(24 * 3_600);
 
 /// A valid request of a caller.
@@ -126,6 +127,7 @@
     }
 }
 
+/// Returns an error response with the outcome `not-run`.
 fn refuse(status: StatusCode, text: impl Into<String>) -> Box<Response<Body>> {
     Box::new(reply::rejected(status, text))
 }
--- a/crates/entry/src/proxy/keyed.rs
+++ b/crates/entry/src/proxy/keyed.rs
@@ -1,8 +1,8 @@
 //! Requests with an idempotency key.
 //!
 //! The key map assigns each key to one holder, the only agent that may run the key. After a move of
-//! keys to a new holder, the witnesses are the entries that may have dispatched keys to the old one.
-//! A probe asks a witness whether it has dispatched a key.
+//! keys to a new holder, the witnesses are the entries that may have dispatched keys to the old
+//! one. A probe asks a witness whether it has dispatched a key.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -29,8 +29,8 @@
 /// Longest wait for the answers to probes. A slower entry counts as unreachable.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Longest wait for the proof that a refused key was not run. Short, since the caller is waiting for
-/// a final answer.
+/// Longest wait for the proof that a refused key was not run. Short, since the caller is waiting
+/// for a final answer.
 const CONFIRM_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Dispatches a request to the holder of its key, if the key cannot have run at another holder.
@@ -184,6 +184,7 @@
     }
 }
 
+/// Returns the outcome of a request whose key no agent may run now.
 fn unavailable() -> Outcome {
     let reason = RefuseReason::KeyUnavailable;
     Outcome::NotRun { reason, retry_after: RETRY_AFTER, reached: false }
--- a/crates/entry/src/proxy/unkeyed.rs
+++ b/crates/entry/src/proxy/unkeyed.rs
@@ -40,6 +40,7 @@
     }
 }
 
+/// Chooses a live upstream that was not tried yet.
 fn choose<S: Store>(context: &Arc<Context<S>>, call: &Call, tried: &[AgentId]) -> Option<Target> {
     let mut rng = fastrand::Rng::new();
     context.upstreams.lock().choose(runtime::now(), &call.service, tried, &mut rng)
@@ -57,6 +58,7 @@
     }
 }
 
+/// Returns the outcome of a request without a live upstream.
 fn no_upstream() -> Outcome {
     let reason = RefuseReason::NoUpstream;
     Outcome::NotRun { reason, retry_after: RETRY_AFTER, reached: false }
--- a/crates/entry/src/proxy/upload.rs
+++ b/crates/entry/src/proxy/upload.rs
@@ -55,8 +55,9 @@
     ///
     /// # Errors
     ///
-    /// Fails when the stream to the agent is closed, or when the caller's body is incomplete. In the
-    /// latter case the stream is reset, from which the agent learns that the body is incomplete.
+    /// Fails when the stream to the agent is closed, or when the caller's body is incomplete. In
+    /// the latter case the stream is reset, from which the agent learns that the body is
+    /// incomplete.
     pub async fn send(&mut self, mut sender: FrameSender) -> Result<(), WireError> {
         let result = self.send_frames(&mut sender).await;
         if matches!(&result, Err(error) if error.peer == CALLER) {
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -61,6 +61,7 @@
         }
     }
 
+    /// Removes and returns the queued announcements.
     fn take(&mut self) -> Vec<PendingAnnounce> {
         self.queued.drain().map(|(_, pending)| pending).collect()
     }
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -22,7 +22,8 @@
     pub peers: Vec<SocketAddr>,
     /// SHA-256 digest of the operators' bearer token, in lower-case hex.
     pub operator_digest: String,
-    /// Time for which the store may be unreachable before the entry stops acting as an owner.
+    /// Time without contact to the store after which the entry grants no more leases, starts no more
+    /// tasks and dispatches no more requests with idempotency keys.
     pub outage_hold: Duration,
     /// Time without heartbeats after which an entry counts as dead.
     pub dead_after: Duration,
--- a/crates/entry/tests/cells.rs
+++ b/crates/entry/tests/cells.rs
@@ -1,4 +1,5 @@
-//! Cell ownership and batch jobs with a stand-in for the store, and with agents simulated by their reports.
+//! Cell ownership and batch jobs with a stand-in for the store, and with agents simulated by their
+//! reports.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
--- a/crates/entry/tests/config.rs
+++ b/crates/entry/tests/config.rs
@@ -76,8 +76,8 @@
     });
 }
 
-/// Guards against a new entry that sends agents an empty list of entries before it has read the list
-/// from the store. The agents would stop announcing themselves to the other entries.
+/// Guards against a new entry that sends agents an empty list of entries before it has read the
+/// list from the store. The agents would stop announcing themselves to the other entries.
 #[test]
 fn an_entry_without_the_list_names_no_entries() {
     run(async {
--- a/crates/entry/tests/history.rs
+++ b/crates/entry/tests/history.rs
@@ -131,9 +131,10 @@
     runtime::sleep(Duration::from_secs(seconds)).await;
 }
 
-/// Guards against answers of other requests, keys that run twice, and keys that have run or run later
-/// although their caller got `not-run`. Meanwhile agents and an entry restart, and the store is down
-/// or loses responses. Also guards against buckets whose new keys stay `unknown` afterwards.
+/// Guards against answers of other requests, keys that run twice, and keys that have run or run
+/// later although their caller got `not-run`. Meanwhile agents and an entry restart, and the store
+/// is down or loses responses. Also guards against buckets whose new keys stay `unknown`
+/// afterwards.
 #[test]
 fn histories_of_keys_are_sound_under_faults() {
     run(async {
@@ -185,7 +186,8 @@
         drop(two);
         let two = Entry::start("entry-2", store.address(), vec![one.internal]).await;
         clients.entries.lock()[1] = two.http;
-        // The moved buckets have to be open for new keys, although a witness of the move has failed.
+        // The moved buckets have to be open for new keys, although a witness of the move has
+        // failed.
         for (entry, number) in (0..2).flat_map(|entry| (0..100).map(move |n| (entry, n))) {
             let key = format!("new-{entry}-{number}");
             until("a new key is answered", || async {
--- a/crates/entry/tests/requests.rs
+++ b/crates/entry/tests/requests.rs
@@ -122,8 +122,8 @@
     });
 }
 
-/// Guards against responses after the deadline, and against the outcome `not-run` without proof from
-/// the agent.
+/// Guards against responses after the deadline, and against the outcome `not-run` without proof
+/// from the agent.
 #[test]
 fn the_deadline_ends_a_request() {
     run(async {
