--- a/crates/entry/src/cells/jobs.rs
+++ b/crates/entry/src/cells/jobs.rs
@@ -1,4 +1,4 @@
-//! Job operations of callers, as JSON.
+//! Job operations of callers on an owned cell, with JSON bodies.
 
 use std::time::Duration;
 
@@ -16,10 +16,10 @@
 
 use crate::cells::owned::OwnedCell;
 
-/// Longest wait for a commit. Below the time that the forwarding entry waits.
+/// Longest wait for a commit. Below the 5 s that the forwarding entry waits.
 const COMMIT_WAIT: Duration = Duration::from_secs(4);
 
-/// Body of a submission.
+/// Body of a job submission.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Submission {
@@ -32,7 +32,7 @@
     #[serde(default)]
     #[allow(dead_code)] // Read by the entry that chose the cell.
     cell: Option<String>,
-    /// Used only with the operators' credential; others submit for their own team.
+    /// Read only from operators; a team submits its own jobs.
     #[serde(default)]
     team: Option<TeamId>,
 }
@@ -61,6 +61,7 @@
     }
 }
 
+/// Submits a job and waits for the commit.
 async fn submit<S: Store>(
     owned: &OwnedCell<S>,
     forward: &Forward,
@@ -75,10 +76,10 @@
         false => forward.team.clone(),
     };
     let Some(team) = team else {
-        return reply(422, &json!({"error": "operators name the team", "field": "team"}));
+        return reply(422, &json!({"error": "an operator must name the team", "field": "team"}));
     };
     if store_down {
-        return unavailable("the store is down; the job was not taken");
+        return unavailable("the store is down; the job was not accepted");
     }
     let spec = JobSpec {
         id: submission.id,
@@ -90,7 +91,7 @@
     };
     let id = spec.id.clone();
     let (answer, durable) = owned.with_state(|state| {
-        let (ticket, durable) = state.ticket();
+        let (ticket, durable) = state.issue_ticket();
         let answer = state.cell.submit(spec, ticket);
         if !matches!(answer, SubmitReply::Created | SubmitReply::Existing) {
             state.tickets.remove(&ticket);
@@ -104,12 +105,13 @@
         SubmitReply::Full => return unavailable("the cell has no room for more jobs"),
         SubmitReply::Invalid(problems) => return invalid(&problems),
     };
-    match wait(durable).await {
+    match wait_committed(durable).await {
         true => show(owned, None, &id, status),
         false => unavailable("not committed in time; submit the same job again to find out"),
     }
 }
 
+/// Requests the cancellation of a job and waits for the commit.
 async fn cancel<S: Store>(
     owned: &OwnedCell<S>,
     team: Option<&str>,
@@ -120,7 +122,7 @@
         return unavailable("the store is down; the job was not cancelled");
     }
     let (answer, durable) = owned.with_state(|state| {
-        let (ticket, durable) = state.ticket();
+        let (ticket, durable) = state.issue_ticket();
         let answer = state.cell.cancel(team, id, ticket);
         if answer != CancelReply::Accepted {
             state.tickets.remove(&ticket);
@@ -130,11 +132,12 @@
     match answer {
         CancelReply::NotFound => error(404, "no such job"),
         CancelReply::Ended => error(409, &format!("job {id} has ended")),
-        CancelReply::Accepted if wait(durable).await => show(owned, team, id, 200),
+        CancelReply::Accepted if wait_committed(durable).await => show(owned, team, id, 200),
         CancelReply::Accepted => unavailable("not committed in time; cancel again to find out"),
     }
 }
 
+/// Returns a job as a reply with `status`, or 404 if the team has no such job.
 fn show<S: Store>(owned: &OwnedCell<S>, team: Option<&str>, id: &str, status: u16) -> ForwardReply {
     match owned.with_state(|state| state.cell.show(&owned.id, team, id)) {
         Some(view) => reply(status, &view),
@@ -142,8 +145,8 @@
     }
 }
 
-/// Waits for the commit; tells whether it came.
-async fn wait(durable: Receiver<()>) -> bool {
+/// Waits for a commit. Tells whether it arrived within [`COMMIT_WAIT`].
+async fn wait_committed(durable: Receiver<()>) -> bool {
     let committed = async { durable.recv().await.is_ok() };
     let timed_out = async {
         runtime::sleep(COMMIT_WAIT).await;
@@ -152,7 +155,7 @@
     future::or(committed, timed_out).await
 }
 
-/// Text is passed to the worker as it is, anything else as JSON.
+/// Encodes a command for the worker: text unchanged, any other value as JSON.
 fn command(value: Value) -> Bytes {
     match value {
         Value::Null => Bytes::new(),
@@ -161,6 +164,7 @@
     }
 }
 
+/// Returns the reply to a job with invalid fields.
 fn invalid(problems: &[(&'static str, String)]) -> ForwardReply {
     let texts = problems.iter().map(|(field, detail)| format!("{field} {detail}"));
     let error = texts.collect::<Vec<_>>().join("; ");
@@ -168,6 +172,7 @@
     reply(422, &json!({"error": error, "field": field}))
 }
 
+/// Returns the reply to an operation that was not committed.
 fn unavailable(text: &str) -> ForwardReply {
     reply(503, &json!({"error": text, "step": "commit"}))
 }
@@ -177,6 +182,6 @@
 }
 
 fn reply(status: u16, body: &impl Serialize) -> ForwardReply {
-    // Views and JSON values always encode.
+    // Encoding of job views and JSON values cannot fail.
     ForwardReply { status, body: serde_json::to_vec(body).unwrap_or_default().into() }
 }
--- a/crates/entry/src/cells/owned.rs
+++ b/crates/entry/src/cells/owned.rs
@@ -1,4 +1,5 @@
-//! One owned cell: commits, lease checks and held reports.
+//! One cell that this entry owns: commits to its journal, checks of its owner record, and reports
+//! that wait for orders.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -19,74 +20,88 @@
 use crate::cells::record::{owner_key, OwnerRecord, Replayed};
 use crate::cells::{Shared, WorkerView};
 
-/// Longest time for which a report without orders is held.
-const HOLD_REPORT: Duration = Duration::from_secs(1);
-/// Time between two placements, and between two looks at an idle cell.
-const POLL: Duration = Duration::from_millis(25);
+/// Longest time for which the answer to a report waits for orders. Also the longest time between
+/// two checks for uncommitted events.
+const REPORT_HOLD: Duration = Duration::from_secs(1);
+/// Time between two polls of the cell's state machine, which places tasks and checks leases. Also
+/// the time between two checks for pending events at a release.
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 /// Shortest time between two commits.
-const COMMIT_GAP: Duration = Duration::from_millis(250);
-/// Sustained commits in a second.
+const COMMIT_INTERVAL: Duration = Duration::from_millis(250);
+/// Sustained rate of commits, in commits per second.
 const COMMIT_RATE: f64 = 2.0;
-/// Pause after a commit that the store did not answer.
+/// Pause after a failed commit.
 const COMMIT_RETRY: Duration = Duration::from_millis(500);
 /// Time between two checks of the owner record.
-const CHECK_OWNER: Duration = Duration::from_secs(2);
-/// Longest time for the last commits and the release at shutdown.
+const OWNER_CHECK_INTERVAL: Duration = Duration::from_secs(2);
+/// Longest wait for the last commits of a cell that is being released.
 const RELEASE_LIMIT: Duration = Duration::from_secs(5);
 
-/// What the tasks and calls of an owned share.
+/// State of an owned cell that its tasks and callers share.
 #[derive(Debug)]
-pub(super) struct State {
+pub(super) struct OwnedState {
     pub cell: Cell,
+    /// Signals of calls that wait for a commit, by ticket.
     pub tickets: HashMap<Ticket, Sender<()>>,
-    pub next_ticket: Ticket,
-    held: HashMap<AgentId, Sender<()>>,
+    /// The most recently issued ticket.
+    pub last_ticket: Ticket,
+    /// Signals of the reports that wait for orders, by agent.
+    held_reports: HashMap<AgentId, Sender<()>>,
     document: Option<Arc<Document>>,
 }
 
-/// An owned cell.
+/// A cell that this entry owns, until `ended` is set.
 #[derive(Debug)]
 pub(super) struct OwnedCell<S: Store> {
     pub id: CellId,
     shared: Arc<Shared<S>>,
     epoch: Epoch,
-    state: Mutex<State>,
+    state: Mutex<OwnedState>,
+    /// The ownership was lost or released.
     ended: AtomicBool,
-    /// Wakes the committing task.
-    work: Sender<()>,
+    /// Wakes the task that commits.
+    commit_signal: Sender<()>,
 }
 
 impl<S: Store> OwnedCell<S> {
-    /// Starts the tasks of a cell that was taken over.
-    pub fn open(
+    /// Creates a cell that was taken over and starts its tasks.
+    pub fn start(
         shared: &Arc<Shared<S>>,
         id: CellId,
         epoch: Epoch,
         cell: Cell,
         journal: Journal<S, Replayed>,
     ) -> Arc<Self> {
-        let (work, worked) = async_channel::bounded(1);
-        let state = State {
+        let (commit_signal, commit_wanted) = async_channel::bounded(1);
+        let state = OwnedState {
             cell,
             tickets: HashMap::new(),
-            next_ticket: 0,
-            held: HashMap::new(),
+            last_ticket: 0,
+            held_reports: HashMap::new(),
             document: None,
         };
         let shared = shared.clone();
         let ended = AtomicBool::new(false);
-        let owned =
-            Arc::new(OwnedCell { id, shared, epoch, state: Mutex::new(state), ended, work });
-        runtime::spawn(owned.clone().commit_all(journal, worked)).detach();
-        runtime::spawn(owned.clone().poll_all()).detach();
+        let owned = Arc::new(OwnedCell {
+            id,
+            shared,
+            epoch,
+            state: Mutex::new(state),
+            ended,
+            commit_signal,
+        });
+        runtime::spawn(owned.clone().commit_loop(journal, commit_wanted)).detach();
+        runtime::spawn(owned.clone().poll_loop()).detach();
         runtime::spawn(owned.clone().check_owner()).detach();
         owned
     }
 
+    /// Tells whether the ownership was lost or released.
     pub fn has_ended(&self) -> bool {
         self.ended.load(Ordering::Acquire)
     }
 
+    /// Returns this entry as the owner of the cell.
     pub fn owner(&self) -> CellOwner {
         CellOwner {
             entry: self.shared.entry.clone(),
@@ -95,11 +110,13 @@
         }
     }
 
+    /// Returns the cell's workers for operators.
     pub fn workers(&self) -> Vec<WorkerView> {
         let views = self.state.lock().cell.worker_views(runtime::now());
         views.into_iter().map(|worker| WorkerView { cell: self.id.clone(), worker }).collect()
     }
 
+    /// Applies the limits of a configuration, if it is a new one.
     pub fn set_document(&self, document: &Arc<Document>) {
         let mut state = self.state.lock();
         if state.document.as_ref().is_some_and(|known| Arc::ptr_eq(known, document)) {
@@ -109,18 +126,20 @@
         state.document = Some(document.clone());
     }
 
-    /// Runs `change` on the state and wakes the commit for what it proposed.
-    pub fn with_state<T>(&self, change: impl FnOnce(&mut State) -> T) -> T {
+    /// Runs `change` on the state, delivers the resulting effects, and wakes the commit task if
+    /// there are uncommitted events.
+    pub fn with_state<T>(&self, change: impl FnOnce(&mut OwnedState) -> T) -> T {
         let mut state = self.state.lock();
         let result = change(&mut state);
-        state.release_effects();
+        state.deliver_effects();
         if state.cell.has_uncommitted() {
-            let _ = self.work.try_send(());
+            let _ = self.commit_signal.try_send(());
         }
         result
     }
 
-    /// Takes in a report and answers it; `None` when the cell is no longer owned here.
+    /// Processes a report and returns the answer, or `None` when this entry no longer owns the
+    /// cell.
     pub async fn report(self: &Arc<Self>, report: Report) -> Option<Orders> {
         let now = runtime::now();
         let received = self.with_state(|state| state.cell.report(now, &report));
@@ -132,80 +151,86 @@
             }
             ReportStatus::NotOwner => {
                 if report.epoch > self.epoch {
-                    self.end("a report names a higher epoch");
+                    self.lose_ownership("a report names a higher epoch");
                 }
                 return None;
             }
         }
-        let deadline = now + HOLD_REPORT;
-        while let Some(woken) = self.hold(&report.agent) {
+        let deadline = now + REPORT_HOLD;
+        while let Some(woken) = self.register_wait(&report.agent) {
             let left = deadline.saturating_sub(runtime::now());
             let waited = async { woken.recv().await.is_ok() };
             let timed_out = async {
                 runtime::sleep(left).await;
                 false
             };
-            // Not woken: overtaken by a newer report, or the time is up.
+            // Not woken: a newer report has replaced this one, or the time is up.
             if !future::or(waited, timed_out).await {
                 break;
             }
         }
         let Report { agent, incarnation, sequence, .. } = report;
-        let answer =
-            |state: &mut State| state.cell.answer(runtime::now(), &agent, incarnation, sequence);
+        let answer = |state: &mut OwnedState| {
+            state.cell.answer(runtime::now(), &agent, incarnation, sequence)
+        };
         self.with_state(answer)
     }
 
-    /// Registers a wait for orders; `None` when there are some.
-    fn hold(&self, agent: &AgentId) -> Option<Receiver<()>> {
+    /// Registers a report's wait for orders. Returns `None` when there are orders already.
+    fn register_wait(&self, agent: &AgentId) -> Option<Receiver<()>> {
         let mut state = self.state.lock();
         if state.cell.has_orders(runtime::now(), agent) {
             return None;
         }
         let (sender, receiver) = async_channel::bounded(1);
-        state.held.insert(agent.clone(), sender);
+        state.held_reports.insert(agent.clone(), sender);
         Some(receiver)
     }
 
-    /// Places and checks leases until the owned ends.
-    async fn poll_all(self: Arc<Self>) {
+    /// Polls the cell, which places tasks and checks leases, until the ownership ends.
+    async fn poll_loop(self: Arc<Self>) {
         while !self.has_ended() {
             let now = runtime::now();
             self.with_state(|state| state.cell.poll(now));
-            runtime::sleep(POLL).await;
+            runtime::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Commits until the owned ends: at once when idle, otherwise in groups.
-    async fn commit_all(self: Arc<Self>, mut journal: Journal<S, Replayed>, work: Receiver<()>) {
-        let mut allowance = COMMIT_RATE;
+    /// Commits proposed events until the ownership ends: at once when idle, otherwise in batches at
+    /// [`COMMIT_RATE`].
+    async fn commit_loop(
+        self: Arc<Self>,
+        mut journal: Journal<S, Replayed>,
+        commit_wanted: Receiver<()>,
+    ) {
+        let mut commit_tokens = COMMIT_RATE;
         let mut last = runtime::now();
         while !self.has_ended() {
             let waited = async {
-                let _ = work.recv().await;
+                let _ = commit_wanted.recv().await;
             };
-            future::or(waited, runtime::sleep(HOLD_REPORT)).await;
+            future::or(waited, runtime::sleep(REPORT_HOLD)).await;
             let now = runtime::now();
-            let refilled = allowance + (now - last).as_secs_f64() * COMMIT_RATE;
-            allowance = refilled.min(COMMIT_RATE);
+            let refilled = commit_tokens + (now - last).as_secs_f64() * COMMIT_RATE;
+            commit_tokens = refilled.min(COMMIT_RATE);
             last = now;
             let events = self.state.lock().cell.take_batch();
             if events.is_empty() {
                 continue;
             }
-            allowance -= 1.0;
+            commit_tokens -= 1.0;
             if !self.commit(&mut journal, events).await {
-                let _ = self.work.try_send(());
+                let _ = self.commit_signal.try_send(());
                 runtime::sleep(COMMIT_RETRY).await;
                 continue;
             }
-            let owed = Duration::from_secs_f64((1.0 - allowance).max(0.0) / COMMIT_RATE);
-            let pause = owed.max(COMMIT_GAP);
+            let owed = Duration::from_secs_f64((1.0 - commit_tokens).max(0.0) / COMMIT_RATE);
+            let pause = owed.max(COMMIT_INTERVAL);
             runtime::sleep(pause.saturating_sub(runtime::now() - now)).await;
         }
     }
 
-    /// Writes one batch. Tells whether it is durable.
+    /// Appends one batch to the journal. Tells whether the batch is durable.
     async fn commit(&self, journal: &mut Journal<S, Replayed>, events: Vec<Event>) -> bool {
         let start = runtime::now();
         let result = journal.append(events.clone()).await;
@@ -214,7 +239,7 @@
         metrics::histogram!("cell_commit_seconds", "cell" => cell).record(elapsed.as_secs_f64());
         match result {
             Ok(()) => {
-                self.log(&events);
+                self.log_events(&events);
                 self.with_state(|state| {
                     state.cell.record_store_contact(start);
                     state.cell.confirm_commit();
@@ -227,14 +252,14 @@
                 false
             }
             Err(error) => {
-                self.end(&error.to_string());
+                self.lose_ownership(&error.to_string());
                 false
             }
         }
     }
 
-    /// Checks the owner record until the owned ends. This also bounds the time for which an owner
-    /// without commits can go on after a successor has taken over.
+    /// Checks the owner record until the ownership ends. This bounds the time for which an owner
+    /// without commits can continue after a successor has taken over.
     async fn check_owner(self: Arc<Self>) {
         while !self.has_ended() {
             let start = runtime::now();
@@ -243,25 +268,27 @@
                     Some(record) if self.is_own(&record) => {
                         self.state.lock().cell.record_store_contact(start);
                     }
-                    _ => self.end("another owner is recorded"),
+                    _ => self.lose_ownership("another owner is recorded"),
                 },
-                Ok(None) => self.end("the owner record is gone"),
+                Ok(None) => self.lose_ownership("the owner record is gone"),
                 Err(error) => {
                     tracing::debug!(event = "owner_check_failed", cell = self.id, %error);
                 }
             }
-            self.measure();
-            runtime::sleep(CHECK_OWNER).await;
+            self.update_gauges();
+            runtime::sleep(OWNER_CHECK_INTERVAL).await;
         }
     }
 
+    /// Tells whether a record names this ownership period.
     fn is_own(&self, record: &OwnerRecord) -> bool {
         record.entry == self.shared.entry
             && record.incarnation == self.shared.incarnation
             && record.epoch == self.epoch
     }
 
-    fn measure(&self) {
+    /// Updates the metrics of queued and running tasks.
+    fn update_gauges(&self) {
         let (mut queued, mut running) = (0, 0);
         for job in self.state.lock().cell.state().jobs.values() {
             queued += u64::from(job.waiting());
@@ -271,27 +298,28 @@
         metrics::gauge!("cell_tasks_running", "cell" => self.id.clone()).set(running as f64);
     }
 
-    /// Leaves owned: another owner may be in it.
-    fn end(&self, reason: &str) {
+    /// Ends the ownership without a release, since another entry may own the cell.
+    fn lose_ownership(&self, reason: &str) {
         if self.ended.swap(true, Ordering::AcqRel) {
             return;
         }
         let mut state = self.state.lock();
         state.cell.stop();
         state.tickets.clear();
-        state.held.clear();
+        state.held_reports.clear();
         tracing::warn!(event = "cell_lost", cell = self.id, epoch = self.epoch, reason);
     }
 
-    /// Hands the cell back: stops granting, commits what is left, then marks the record.
+    /// Releases the cell: stops leases and starts, commits the pending events, then marks the owner
+    /// record as released.
     pub async fn release(self: Arc<Self>) {
         let deadline = runtime::now() + RELEASE_LIMIT;
         self.with_state(|state| {
             state.cell.release();
-            state.held.clear();
+            state.held_reports.clear();
         });
         while self.state.lock().cell.has_pending_events() && runtime::now() < deadline {
-            runtime::sleep(POLL).await;
+            runtime::sleep(POLL_INTERVAL).await;
             if self.has_ended() {
                 return;
             }
@@ -306,6 +334,7 @@
         self.state.lock().tickets.clear();
     }
 
+    /// Sets `released` in the owner record. Tells whether that succeeded.
     async fn mark_released(&self) -> bool {
         let key = owner_key(&self.id);
         let Ok(Some(found)) = self.shared.store.get(&key).await else { return false };
@@ -318,7 +347,7 @@
     }
 
     /// Logs and counts committed events.
-    pub fn log(&self, events: &[Event]) {
+    pub fn log_events(&self, events: &[Event]) {
         for event in events {
             let name = event.name();
             metrics::counter!("cell_events_total", "cell" => self.id.clone(), "event" => name)
@@ -328,16 +357,17 @@
     }
 }
 
-impl State {
-    /// Returns a ticket, and the signal that it has become durable.
-    pub fn ticket(&mut self) -> (Ticket, Receiver<()>) {
+impl OwnedState {
+    /// Issues a ticket for a change, with the receiver of its signal after the commit.
+    pub fn issue_ticket(&mut self) -> (Ticket, Receiver<()>) {
         let (sender, receiver) = async_channel::bounded(1);
-        self.next_ticket += 1;
-        self.tickets.insert(self.next_ticket, sender);
-        (self.next_ticket, receiver)
+        self.last_ticket += 1;
+        self.tickets.insert(self.last_ticket, sender);
+        (self.last_ticket, receiver)
     }
 
-    fn release_effects(&mut self) {
+    /// Signals the calls whose commit is durable and the reports that have orders.
+    fn deliver_effects(&mut self) {
         for effect in self.cell.take_effects() {
             match effect {
                 Effect::Durable(ticket) => {
@@ -346,7 +376,7 @@
                     }
                 }
                 Effect::Wake(agent) => {
-                    if let Some(sender) = self.held.get(&agent) {
+                    if let Some(sender) = self.held_reports.get(&agent) {
                         let _ = sender.try_send(());
                     }
                 }
@@ -355,6 +385,7 @@
     }
 }
 
+/// Logs one committed event under its name.
 fn log_event(cell: &str, epoch: Epoch, event: &'static str, record: &Event) {
     let log_attempt = |attempt: &AttemptId, detail: &str| {
         let AttemptId { job, task, token } = attempt;
--- a/crates/entry/src/cells/claim.rs
+++ b/crates/entry/src/cells/takeover.rs
@@ -1,4 +1,7 @@
-//! Taking over cells that have no live owner.
+//! Takeover of cells that have no live owner, and handover of cells to better placed entries.
+//!
+//! Live entries are ranked for each cell by data centre and rendezvous hash; the entry of rank 0 is
+//! the preferred owner.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::Ordering;
@@ -14,29 +17,34 @@
 use peridotfold_wire::runtime;
 
 use crate::cells::owned::OwnedCell;
-use crate::cells::record::{journal_name, owner_key, Known, OwnerRecord, Replayed};
+use crate::cells::record::{journal_name, owner_key, CachedRecord, OwnerRecord, Replayed};
 use crate::cells::Shared;
 
-/// Time between two reads of the record of a live owner. With 64 cells and 36 entries this makes
-/// 290 reads/s of the store's 2,000.
-const REREAD: Duration = Duration::from_secs(8);
-/// The same for the entry that is best placed to own the cell: it may be handed back at any time.
-const REREAD_AS_FIRST: Duration = Duration::from_secs(1);
-/// Time for which a better placed entry has to be alive before a cell is handed to it. Longer than
-/// the 6 s in which a dead entry is noticed.
-const MISPLACED_AFTER: Duration = Duration::from_secs(10);
-/// Pause between two cells that are handed over, so that most of the work goes on undisturbed.
+/// Time between two reads of an owner record whose owner is alive. With 64 cells and 36 entries,
+/// these are 290 reads/s of the store's 2,000.
+const RECORD_REFRESH: Duration = Duration::from_secs(8);
+/// The same interval for the preferred owner, since the cell may be handed to it at any time.
+const PREFERRED_REFRESH: Duration = Duration::from_secs(1);
+/// Time for which a better placed entry must be alive before a cell is handed to it. Longer than
+/// the 6 s after which an entry without heartbeats is dead.
+const HAND_OVER_DELAY: Duration = Duration::from_secs(10);
+/// Pause between the handovers of two cells, so that most cells keep working.
 const HAND_OVER_PAUSE: Duration = Duration::from_secs(2);
-/// Time in which the better placed entry has to take over a cell that was handed to it.
+/// Time after a handover for which the former owner leaves the cell to better placed entries.
 const HAND_OVER_LIMIT: Duration = Duration::from_secs(15);
-/// Time that each better placed entry gets to take over a cell first.
-const TURN: Duration = Duration::from_secs(3);
-/// Replays of the journal in one takeover; each repetition means that the former owner wrote.
-const REPLAYS: usize = 5;
+/// Delay of a takeover per better placed entry, which gets this time to take over first.
+const RANK_DELAY: Duration = Duration::from_secs(3);
+/// Most replays of the journal in one takeover. A replay is repeated when the former owner has
+/// written meanwhile.
+const MAX_REPLAYS: usize = 5;
 
-/// Starts a look at each configured cell that is not owned here and is due for one.
-pub(super) fn step<S: Store>(shared: &Arc<Shared<S>>, document: &Document, alive: &[EntryView]) {
-    if !is_listed(shared, alive) {
+/// Starts a check of each configured cell that this entry does not own and whose check is due.
+pub(super) fn scan_cells<S: Store>(
+    shared: &Arc<Shared<S>>,
+    document: &Document,
+    alive: &[EntryView],
+) {
+    if !is_self_listed(shared, alive) {
         return;
     }
     for (cell, config) in &document.cells {
@@ -45,53 +53,57 @@
         if owned || !is_due(shared, cell, alive, rank) {
             continue;
         }
-        if !shared.busy.lock().insert(cell.clone()) {
+        if !shared.in_progress.lock().insert(cell.clone()) {
             continue;
         }
         let (shared, cell, alive) = (shared.clone(), cell.clone(), alive.to_vec());
         runtime::spawn(async move {
-            if let Err(error) = look(&shared, &cell, &alive, rank).await {
+            if let Err(error) = check_cell(&shared, &cell, &alive, rank).await {
                 tracing::warn!(event = "takeover_failed", cell, %error);
             }
-            shared.busy.lock().remove(&cell);
+            shared.in_progress.lock().remove(&cell);
         })
         .detach();
     }
 }
 
-/// Tells whether the list of live entries is of use: without one, anyone would look dead.
-fn is_listed<S: Store>(shared: &Shared<S>, alive: &[EntryView]) -> bool {
+/// Tells whether the list of live entries contains this entry. Before the first successful list,
+/// the list is empty and every owner would count as dead.
+fn is_self_listed<S: Store>(shared: &Shared<S>, alive: &[EntryView]) -> bool {
     alive.iter().any(|view| view.incarnation == shared.incarnation)
 }
 
+/// Tells whether the owner record of a cell should be read now.
 fn is_due<S: Store>(shared: &Shared<S>, cell: &str, alive: &[EntryView], rank: u32) -> bool {
     let now = runtime::now();
     let handed_over = shared.placement.lock().handed_over.get(cell).copied();
     if handed_over.is_some_and(|since| rank > 0 && now < since + HAND_OVER_LIMIT) {
         return false;
     }
-    let interval = if rank == 0 { REREAD_AS_FIRST } else { REREAD };
-    match shared.known.lock().get(cell) {
-        Some(known) if is_held(&known.record, alive) => now >= known.read + interval,
+    let interval = if rank == 0 { PREFERRED_REFRESH } else { RECORD_REFRESH };
+    match shared.owner_cache.lock().get(cell) {
+        Some(known) if has_live_owner(&known.record, alive) => now >= known.read_at + interval,
         _ => true,
     }
 }
 
-/// When cells were found to be better placed elsewhere, and handed over.
+/// Times of the handovers of cells to better placed entries.
 #[derive(Debug, Default)]
 pub(super) struct Placement {
+    /// Owned cells with a better placed live entry, and since when.
     misplaced: BTreeMap<CellId, Duration>,
+    /// Time of the last handover of each cell.
     handed_over: BTreeMap<CellId, Duration>,
 }
 
-/// Hands one cell to a better placed entry, if there is such a cell. Without this, the first entry
-/// that starts would keep all cells.
+/// Releases at most one cell that a better placed entry should own. Without handovers, the first
+/// entry that starts would keep all cells.
 pub(super) fn hand_over<S: Store>(
     shared: &Arc<Shared<S>>,
     document: &Document,
     alive: &[EntryView],
 ) {
-    if !is_listed(shared, alive) {
+    if !is_self_listed(shared, alive) {
         return;
     }
     let now = runtime::now();
@@ -109,12 +121,13 @@
     if placement.handed_over.values().any(|since| now < *since + HAND_OVER_PAUSE) {
         return;
     }
-    let due = |(_, since): &(&CellId, &Duration)| now >= **since + MISPLACED_AFTER;
+    let due = |(_, since): &(&CellId, &Duration)| now >= **since + HAND_OVER_DELAY;
     let Some(cell) = placement.misplaced.iter().find(due).map(|(cell, _)| cell.clone()) else {
         return;
     };
-    // Busy until the release has ended, so that it is not taken for an unfinished takeover.
-    if !shared.busy.lock().insert(cell.clone()) {
+    // In progress until the release has ended, so that the record is not mistaken for that of an
+    // unfinished takeover.
+    if !shared.in_progress.lock().insert(cell.clone()) {
         return;
     }
     placement.misplaced.remove(&cell);
@@ -125,20 +138,20 @@
         if let Some(owned) = owned {
             owned.release().await;
         }
-        shared.busy.lock().remove(&cell);
+        shared.in_progress.lock().remove(&cell);
     })
     .detach();
 }
 
-/// Tells whether the recorded owner is alive and still the owner.
-fn is_held(record: &OwnerRecord, alive: &[EntryView]) -> bool {
+/// Tells whether the recorded owner is alive and has not released the cell.
+fn has_live_owner(record: &OwnerRecord, alive: &[EntryView]) -> bool {
     let is_owner =
         |view: &EntryView| view.entry == record.entry && view.incarnation == record.incarnation;
     !record.released && alive.iter().any(is_owner)
 }
 
-/// Returns the number of live entries that are better placed to own a cell. Entries of the cell's
-/// data centre come first.
+/// Returns the number of live entries that are better placed to own a cell than this one. Entries
+/// in the cell's data centre come first.
 fn rank<S: Store>(
     shared: &Shared<S>,
     cell: &str,
@@ -153,45 +166,50 @@
     alive.iter().filter(|view| Some(weight(view)) > own).count() as u32
 }
 
-/// Reads the record of a cell and takes the cell over if its owner is gone.
-async fn look<S: Store>(
+/// Reads the record of a cell and takes the cell over if it has no live owner.
+async fn check_cell<S: Store>(
     shared: &Arc<Shared<S>>,
     cell: &CellId,
     alive: &[EntryView],
     rank: u32,
 ) -> Result<(), JournalError> {
-    let Some((version, record)) = read(shared, cell, alive).await? else { return Ok(()) };
+    let Some((version, record)) = read_record(shared, cell, alive).await? else { return Ok(()) };
     if rank > 0 {
-        runtime::sleep(TURN * rank).await;
-        // Whoever was better placed has written by now, unless it is gone as well.
-        let again = read(shared, cell, alive).await?;
+        runtime::sleep(RANK_DELAY * rank).await;
+        // A better placed entry has written the record by now, unless it has failed as well.
+        let again = read_record(shared, cell, alive).await?;
         if again.as_ref().map(|(version, _)| *version) != Some(version) {
             return Ok(());
         }
     }
     let epoch = record.map_or(0, |record| record.epoch) + 1;
     shared.taking_over.fetch_add(1, Ordering::AcqRel);
-    let result = claim(shared, cell, version, epoch).await;
+    let result = claim_cell(shared, cell, version, epoch).await;
     shared.taking_over.fetch_sub(1, Ordering::AcqRel);
     result
 }
 
-async fn claim<S: Store>(
+/// Writes the owner record and takes the cell over, unless the entry is shutting down or another
+/// entry was faster.
+async fn claim_cell<S: Store>(
     shared: &Arc<Shared<S>>,
     cell: &CellId,
     version: u64,
     epoch: Epoch,
 ) -> Result<(), JournalError> {
-    if shared.closing.load(Ordering::Acquire) || !write(shared, cell, version, epoch).await? {
+    if shared.closing.load(Ordering::Acquire) || !write_record(shared, cell, version, epoch).await?
+    {
         return Ok(());
     }
     take_over(shared, cell, epoch).await
 }
 
+/// The version and content of the owner record of a cell without a live owner.
 type Vacancy = (u64, Option<OwnerRecord>);
 
-/// Reads the record; `None` when the owner is still the owner of record.
-async fn read<S: Store>(
+/// Reads the owner record. Returns `None` when the recorded owner is alive or the record is
+/// malformed.
+async fn read_record<S: Store>(
     shared: &Shared<S>,
     cell: &CellId,
     alive: &[EntryView],
@@ -202,19 +220,19 @@
         tracing::error!(event = "owner_record_malformed", cell);
         return Ok(None);
     };
-    let known = Known { record: record.clone(), read: runtime::now() };
-    shared.known.lock().insert(cell.clone(), known);
-    // An own record without an owned cell: a takeover that did not come to its end.
+    let known = CachedRecord { record: record.clone(), read_at: runtime::now() };
+    shared.owner_cache.lock().insert(cell.clone(), known);
+    // A record of this process for a cell that it does not own is from an unfinished takeover.
     let is_own = record.incarnation == shared.incarnation && record.entry == shared.entry;
-    match is_own || !is_held(&record, alive) {
+    match is_own || !has_live_owner(&record, alive) {
         true => Ok(Some((found.version, Some(record)))),
         false => Ok(None),
     }
 }
 
-/// Records this entry as the owner. Tells whether that succeeded; after a lost response the next
-/// look finds the record and takes over with a further epoch.
-async fn write<S: Store>(
+/// Writes this entry into the owner record. Tells whether that succeeded; after a lost response,
+/// the next check finds the record and takes over with a higher epoch.
+async fn write_record<S: Store>(
     shared: &Shared<S>,
     cell: &CellId,
     version: u64,
@@ -231,14 +249,14 @@
     match written.map_err(StoreFailure)? {
         PutOutcome::Conflict(_) => Ok(false),
         PutOutcome::Written(_) => {
-            let known = Known { record, read: runtime::now() };
-            shared.known.lock().insert(cell.clone(), known);
+            let known = CachedRecord { record, read_at: runtime::now() };
+            shared.owner_cache.lock().insert(cell.clone(), known);
             Ok(true)
         }
     }
 }
 
-/// Replays the journal, fences off the former owner and begins to own the cell.
+/// Replays the journal, fences off the former owner and starts to own the cell.
 async fn take_over<S: Store>(
     shared: &Arc<Shared<S>>,
     cell: &CellId,
@@ -247,16 +265,16 @@
     let settings = CellSettings { outage_hold: shared.outage_hold, ..CellSettings::default() };
     let writer = hash::rendezvous(cell.as_bytes(), &shared.incarnation.to_le_bytes()) ^ epoch;
     let name = journal_name(cell);
-    for _ in 0..REPLAYS {
+    for _ in 0..MAX_REPLAYS {
         let mut journal: Journal<S, Replayed> =
             Journal::open(shared.store.clone(), &name, writer).await?;
-        // Taken after the replay: a former owner whose write is part of it was the owner until
-        // then, and a later write of it makes the append below fail.
+        // Read after the replay: the former owner may have held the cell until its last replayed
+        // write, and any later write of it makes the append below fail.
         let now = runtime::now();
         let state = journal.state().0.clone();
         if state.epoch >= epoch {
             tracing::error!(event = "owner_record_behind", cell, epoch, journal = state.epoch);
-            return raise(shared, cell, state.epoch + 1).await;
+            return raise_epoch(shared, cell, state.epoch + 1).await;
         }
         let rng = fastrand::Rng::with_seed(writer);
         let mut owned = Cell::take_over(state, epoch, settings, now, rng);
@@ -266,8 +284,8 @@
             result => result?,
         }
         owned.confirm_commit();
-        let owned = OwnedCell::open(shared, cell.clone(), epoch, owned, journal);
-        owned.log(&events);
+        let owned = OwnedCell::start(shared, cell.clone(), epoch, owned, journal);
+        owned.log_events(&events);
         let document = shared.document.lock().clone();
         owned.set_document(&document);
         shared.owned_cells.lock().insert(cell.clone(), owned);
@@ -276,19 +294,19 @@
     Err(JournalError::Fenced)
 }
 
-/// Writes a record with a higher epoch, for the next look. Needed only when the owner record was
-/// lost while the journal was kept.
-async fn raise<S: Store>(
+/// Writes an owner record with a higher epoch, with which the next check takes over. Needed only
+/// when the owner record was lost but not the journal.
+async fn raise_epoch<S: Store>(
     shared: &Arc<Shared<S>>,
     cell: &CellId,
     epoch: Epoch,
 ) -> Result<(), JournalError> {
     let found = shared.store.get(&owner_key(cell)).await.map_err(StoreFailure)?;
-    write(shared, cell, found.map_or(0, |found| found.version), epoch).await?;
+    write_record(shared, cell, found.map_or(0, |found| found.version), epoch).await?;
     Ok(())
 }
 
-/// A failed call of the store, as part of a takeover.
+/// A store error during a takeover, convertible into a journal error.
 struct StoreFailure(StoreError);
 
 impl From<StoreFailure> for JournalError {
--- a/crates/entry/src/http.rs
+++ b/crates/entry/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP towards callers and operators.
+//! HTTP interface for callers and operators.
 
 use std::sync::Arc;
 
@@ -13,13 +13,13 @@
 use crate::proxy::call::PREFIX;
 use crate::{jobs, operator, proxy, reply};
 
-/// Routes HTTP requests.
-pub struct Http<S: Store> {
+/// Routes the HTTP requests of callers and operators to their handlers.
+pub struct HttpHandler<S: Store> {
     pub context: Arc<Context<S>>,
     pub metrics: PrometheusHandle,
 }
 
-impl<S: Store> HttpService for Http<S> {
+impl<S: Store> HttpService for HttpHandler<S> {
     async fn call(&self, request: Request<Incoming>) -> Response<Body> {
         let path = request.uri().path();
         if path.starts_with(PREFIX) {
@@ -42,7 +42,8 @@
     }
 }
 
-impl<S: Store> Http<S> {
+impl<S: Store> HttpHandler<S> {
+    /// Returns the metrics of the process in the Prometheus text format.
     fn metrics(&self) -> Response<Body> {
         let now = peridotfold_wire::runtime::now();
         let upstreams = self.context.upstreams.lock().live_agents(now);
@@ -50,15 +51,15 @@
             metrics::gauge!("upstreams_live", "service" => service).set(live.len() as f64);
         }
         metrics::gauge!("store_silence_seconds").set(self.context.store_silence().as_secs_f64());
-        reply::typed(StatusCode::OK, "text/plain; version=0.0.4", self.metrics.render())
+        reply::with_content_type(StatusCode::OK, "text/plain; version=0.0.4", self.metrics.render())
     }
 
-    /// Tells the load balancer whether to send callers here.
+    /// Tells the load balancer whether this entry accepts requests.
     fn health(&self) -> Response<Body> {
         match (self.context.is_stopping(), self.context.current()) {
             (true, _) => reply::error(StatusCode::SERVICE_UNAVAILABLE, "shutting down"),
             (false, None) => reply::error(StatusCode::SERVICE_UNAVAILABLE, "no configuration yet"),
-            (false, Some(_)) => reply::typed(StatusCode::OK, "text/plain", "ok\n"),
+            (false, Some(_)) => reply::with_content_type(StatusCode::OK, "text/plain", "ok\n"),
         }
     }
 }
--- a/crates/entry/src/internal.rs
+++ b/crates/entry/src/internal.rs
@@ -1,4 +1,4 @@
-//! Messages of agents and of other entries.
+//! Internal interface: handles the messages of agents and other entries.
 
 use std::sync::Arc;
 
@@ -19,49 +19,51 @@
 use crate::cells::CellError;
 use crate::context::Context;
 
-/// Handles the messages.
-pub struct Internal<S: Store> {
+/// Handles each message by its kind.
+pub struct InternalHandler<S: Store> {
     pub context: Arc<Context<S>>,
 }
 
-impl<S: Store> Handler for Internal<S> {
+impl<S: Store> Handler for InternalHandler<S> {
     async fn handle(&self, stream: Stream) -> Result<(), WireError> {
         let Stream { kind, mut receiver, responder } = stream;
         match kind.as_str() {
-            "announce" => match self.announce(first(&mut receiver).await?) {
+            "announce" => match self.announce(first_message(&mut receiver).await?) {
                 Some(reply) => responder.reply(&reply).await,
-                None => responder.refuse(StatusCode::CONFLICT, "older than known".into()),
+                None => {
+                    responder.refuse(StatusCode::CONFLICT, "a newer announcement is known".into())
+                }
             },
             "relay" => {
-                self.take_relayed(first(&mut receiver).await?);
+                self.record_relayed(first_message(&mut receiver).await?);
                 responder.reply(&()).await
             }
             "report" => {
-                let report: Report = first(&mut receiver).await?;
+                let report: Report = first_message(&mut receiver).await?;
                 match self.context.cells.report(report).await {
                     Ok(orders) => responder.reply(&orders).await,
                     Err(error) => responder.refuse(StatusCode::CONFLICT, refusal(&error)),
                 }
             }
             "forward" => {
-                let forward: Forward = first(&mut receiver).await?;
+                let forward: Forward = first_message(&mut receiver).await?;
                 match self.context.cells.forward(forward).await {
                     Ok(reply) => responder.reply(&reply).await,
                     Err(error) => responder.refuse(StatusCode::CONFLICT, refusal(&error)),
                 }
             }
             "probe" => {
-                let probe: Probe = first(&mut receiver).await?;
+                let probe: Probe = first_message(&mut receiver).await?;
                 let reply = self.context.keys.lock().probe(&probe.service, &probe.key);
                 responder.reply(&reply).await
             }
             "keylist" => {
-                let request: KeyListRequest = first(&mut receiver).await?;
-                let reply = self.list(&request);
+                let request: KeyListRequest = first_message(&mut receiver).await?;
+                let reply = self.list_keys(&request);
                 responder.reply(&reply).await
             }
             "config" => {
-                let request: ConfigRequest = first(&mut receiver).await?;
+                let request: ConfigRequest = first_message(&mut receiver).await?;
                 match self.context.update_since(request.version) {
                     Some(update) => responder.reply(&ConfigReply { update }).await,
                     None => {
@@ -79,12 +81,14 @@
     }
 }
 
-impl<S: Store> Internal<S> {
+impl<S: Store> InternalHandler<S> {
+    /// Records an agent's announcement and queues it for relay. Returns `None` when a newer one is
+    /// known.
     fn announce(&self, announce: Announce) -> Option<AnnounceReply> {
         let context = &self.context;
         let (version, cell) = (announce.config_version, announce.cell.clone());
         let known = announce.entries_digest;
-        context.note_version(version, &announce.address);
+        context.record_version(version, &announce.address);
         let now = runtime::now();
         let is_new = {
             let mut upstreams = context.upstreams.lock();
@@ -96,7 +100,7 @@
             }
             is_new
         };
-        // It may be the successor of a holder, whose buckets have to move.
+        // The agent may replace a holder of keys, whose buckets have to move.
         if is_new {
             context.request_round();
         }
@@ -114,27 +118,30 @@
     }
 }
 
-impl<S: Store> Internal<S> {
-    fn list(&self, request: &KeyListRequest) -> KeyListReply {
+impl<S: Store> InternalHandler<S> {
+    /// Returns a page of the keys that this entry dispatched before a move.
+    fn list_keys(&self, request: &KeyListRequest) -> KeyListReply {
         let now = runtime::now();
         let mut keys = self.context.keys.lock();
         let reply = keys.list(request);
         if matches!(reply, KeyListReply::Page { more: false, .. }) {
             keys.note_copied(request);
         }
-        // The sender has adopted a move that this entry has not seen yet.
+        // The sender has adopted a move that this entry does not know yet.
         if keys.map(&request.service).is_none_or(|map| map.generation < request.generation) {
             self.context.request_round();
         }
-        // The sender's own list is final now. Without this, an entry that had asked for it too
-        // early waited up to 2 s for its next try, and the sender's death in between lost the list.
+        // The sender's own list is final now. Without the early fetch, an entry that had asked for
+        // it too early waited up to 2 s for its next try, and lost the list if the sender failed
+        // meanwhile.
         if keys.missing(now).iter().any(|missing| missing.generation == request.generation) {
             let _ = self.context.early_fetch.0.try_send(());
         }
         reply
     }
 
-    fn take_relayed(&self, relay: Relay) {
+    /// Records announcements that another entry relays, each with its age.
+    fn record_relayed(&self, relay: Relay) {
         let now = runtime::now();
         let mut upstreams = self.context.upstreams.lock();
         for (announce, age) in relay.announcements {
@@ -143,14 +150,19 @@
     }
 }
 
-async fn first<T: DeserializeOwned>(receiver: &mut FrameReceiver) -> Result<T, WireError> {
+/// Receives the first message of a stream.
+async fn first_message<T: DeserializeOwned>(receiver: &mut FrameReceiver) -> Result<T, WireError> {
     match receiver.next().await? {
         Some(message) => Ok(message),
-        None => Err(WireError::new(Step::Receive, receiver.peer(), "stream without a message")),
+        None => Err(WireError::new(
+            Step::Receive,
+            receiver.peer(),
+            "the stream ended before its first message",
+        )),
     }
 }
 
-/// Tells who owns the cell, so that the sender's log names it.
+/// Describes the refusal of a message about a cell. Names the owner for the sender's log.
 fn refusal(error: &CellError) -> String {
     match error {
         CellError::NotOwner(Some(owner)) => {
--- a/crates/entry/src/jobs.rs
+++ b/crates/entry/src/jobs.rs
@@ -1,4 +1,4 @@
-//! Job operations, passed on to the owner of the job's cell.
+//! Job operations of callers, forwarded to the owner of the job's cell.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,24 +21,25 @@
 use crate::cells::CellError;
 use crate::context::Context;
 use crate::operator::{parameter, read_body};
-use crate::reply::{self, ErrorText};
+use crate::reply::{self, ErrorBody};
 
-/// Path of the jobs.
+/// HTTP path of the job operations.
 pub const PATH: &str = "/v1/jobs";
-const FORWARD_LIMIT: Duration = Duration::from_secs(5);
+/// Timeout of a job operation that is forwarded to another entry.
+const FORWARD_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Part of a submission that decides where it goes.
+/// The fields of a job submission that select the cell.
 #[derive(Deserialize)]
 struct Submission {
     id: String,
     cell: Option<CellId>,
 }
 
-/// Why an operation did not get a reply of the cell's owner.
+/// Reason why a job operation got no reply from the cell's owner.
 enum Failure {
-    /// Certainly not performed.
+    /// The operation was certainly not performed.
     NoOwner { error: String, peer: Option<String> },
-    /// The owner may have performed it.
+    /// The owner may have performed the operation.
     Unknown { error: String, peer: String },
 }
 
@@ -74,37 +75,40 @@
     };
     match (&parts.method, job.is_empty()) {
         (&Method::POST, true) => match submission_cell(&document, &body) {
-            Ok(cell) => respond(send(context, forward(cell)).await),
+            Ok(cell) => respond(perform(context, forward(cell)).await),
             Err(response) => *response,
         },
         (&Method::GET, true) => {
-            let cells = chosen.map_or_else(|| all(&document), |cell| vec![cell]);
-            list(context, cells.into_iter().map(forward).collect()).await
+            let cells = chosen.map_or_else(|| all_cells(&document), |cell| vec![cell]);
+            list_jobs(context, cells.into_iter().map(forward).collect()).await
         }
         (&Method::GET | &Method::DELETE, false) => {
-            let cells = chosen.map_or_else(|| ranked(&document, job), |cell| vec![cell]);
-            find(context, cells.into_iter().map(forward)).await
+            let cells = chosen.map_or_else(|| ranked_cells(&document, job), |cell| vec![cell]);
+            find_job(context, cells.into_iter().map(forward)).await
         }
         _ => reply::error(StatusCode::METHOD_NOT_ALLOWED, "only POST, GET and DELETE"),
     }
 }
 
-fn all(document: &Document) -> Vec<CellId> {
+/// Returns all configured cells.
+fn all_cells(document: &Document) -> Vec<CellId> {
     document.cells.keys().cloned().collect()
 }
 
-/// Returns the cells in the order in which a job without a cell is assigned to them.
-fn ranked(document: &Document, job: &str) -> Vec<CellId> {
-    let mut cells = all(document);
+/// Returns all cells, the preferred one for the job ID first. A job submitted without a cell goes
+/// to the first.
+fn ranked_cells(document: &Document, job: &str) -> Vec<CellId> {
+    let mut cells = all_cells(document);
     let weight = |cell: &CellId| hash::rendezvous(job.as_bytes(), cell.as_bytes());
     cells.sort_by_key(|cell| std::cmp::Reverse(weight(cell)));
     cells
 }
 
+/// Returns the cell of a submission, or the response that rejects it.
 fn submission_cell(document: &Document, body: &Bytes) -> Result<CellId, Box<Response<Body>>> {
     let refuse = |status, error: String, field: Option<&str>| {
         let field = field.map(str::to_owned);
-        Err(Box::new(reply::json(status, &ErrorText { error, field, ..ErrorText::default() })))
+        Err(Box::new(reply::json(status, &ErrorBody { error, field, ..ErrorBody::default() })))
     };
     let submission: Submission = match serde_json::from_slice(body) {
         Ok(submission) => submission,
@@ -118,21 +122,21 @@
             let error = format!("no cell {cell} is configured");
             refuse(StatusCode::UNPROCESSABLE_ENTITY, error, Some("cell"))
         }
-        None => match ranked(document, &submission.id).into_iter().next() {
+        None => match ranked_cells(document, &submission.id).into_iter().next() {
             Some(cell) => Ok(cell),
             None => refuse(StatusCode::SERVICE_UNAVAILABLE, "no cell is configured".into(), None),
         },
     }
 }
 
-/// Asks each cell until one knows the job.
-async fn find<S: Store>(
+/// Tries the operation in one cell after the other until one knows the job.
+async fn find_job<S: Store>(
     context: &Arc<Context<S>>,
     forwards: impl Iterator<Item = Forward>,
 ) -> Response<Body> {
     let mut failed = None;
     for forward in forwards {
-        match send(context, forward).await {
+        match perform(context, forward).await {
             Ok(reply) if reply.status == StatusCode::NOT_FOUND.as_u16() => {}
             Ok(reply) => return respond(Ok(reply)),
             Err(failure) => failed = Some(failure),
@@ -145,22 +149,22 @@
     }
 }
 
-/// Asks all cells at the same time and joins their lists.
-async fn list<S: Store>(context: &Arc<Context<S>>, forwards: Vec<Forward>) -> Response<Body> {
+/// Requests the job lists of the cells concurrently and joins them.
+async fn list_jobs<S: Store>(context: &Arc<Context<S>>, forwards: Vec<Forward>) -> Response<Body> {
     let tasks: Vec<_> = forwards
         .into_iter()
         .map(|forward| {
             let context = context.clone();
             runtime::spawn(async move {
                 let cell = forward.cell.clone();
-                (cell, send(&context, forward).await)
+                (cell, perform(&context, forward).await)
             })
         })
         .collect();
     let (mut jobs, mut missing) = (Vec::new(), Vec::new());
     for task in tasks {
         let (cell, result) = task.await;
-        match result.ok().and_then(|reply| listed(&reply)) {
+        match result.ok().and_then(|reply| parse_job_list(&reply)) {
             Some(part) => jobs.extend(part),
             None => missing.push(cell),
         }
@@ -168,7 +172,8 @@
     reply::json(StatusCode::OK, &json!({"jobs": jobs, "missing_cells": missing}))
 }
 
-fn listed(reply: &ForwardReply) -> Option<Vec<Value>> {
+/// Returns the jobs of a cell's reply, or `None` if it is an error.
+fn parse_job_list(reply: &ForwardReply) -> Option<Vec<Value>> {
     if reply.status != StatusCode::OK.as_u16() {
         return None;
     }
@@ -182,19 +187,20 @@
     }
 }
 
-async fn send<S: Store>(
+/// Performs a job operation here or at the cell's owner.
+async fn perform<S: Store>(
     context: &Arc<Context<S>>,
     forward: Forward,
 ) -> Result<ForwardReply, Failure> {
     let owner = context.cells.owner(&forward.cell);
     match owner {
         Some(owner) if owner.entry != context.settings.id => {
-            send_to(context, &owner, &forward).await
+            forward_to(context, &owner, &forward).await
         }
         _ => match context.cells.forward(forward.clone()).await {
             Ok(reply) => Ok(reply),
             Err(CellError::NotOwner(Some(owner))) if owner.entry != context.settings.id => {
-                send_to(context, &owner, &forward).await
+                forward_to(context, &owner, &forward).await
             }
             Err(CellError::NotOwner(_)) => {
                 let error = format!("no owner of cell {} is known", forward.cell);
@@ -204,12 +210,13 @@
     }
 }
 
-async fn send_to<S: Store>(
+/// Forwards a job operation to the entry that owns the cell.
+async fn forward_to<S: Store>(
     context: &Arc<Context<S>>,
     owner: &CellOwner,
     forward: &Forward,
 ) -> Result<ForwardReply, Failure> {
-    let result = context.peers.call(&owner.address, "forward", forward, FORWARD_LIMIT).await;
+    let result = context.peers.call(&owner.address, "forward", forward, FORWARD_TIMEOUT).await;
     result.map_err(|error| {
         tracing::info!(event = "forward_failed", cell = forward.cell, %error);
         let peer = error.peer.clone();
@@ -220,19 +227,20 @@
     })
 }
 
+/// Converts the result of a job operation to an HTTP response.
 fn respond(result: Result<ForwardReply, Failure>) -> Response<Body> {
     match result {
         Ok(reply) => {
             let status = StatusCode::from_u16(reply.status).unwrap_or(StatusCode::BAD_GATEWAY);
-            reply::typed(status, "application/json", reply.body)
+            reply::with_content_type(status, "application/json", reply.body)
         }
         Err(Failure::NoOwner { error, peer }) => {
-            let text = ErrorText { error, step: Some("forward".into()), peer, field: None };
+            let text = ErrorBody { error, step: Some("forward".into()), peer, field: None };
             reply::json(StatusCode::SERVICE_UNAVAILABLE, &text)
         }
         Err(Failure::Unknown { error, peer }) => {
             let step = Some("forward".into());
-            let text = ErrorText { error, step, peer: Some(peer), field: None };
+            let text = ErrorBody { error, step, peer: Some(peer), field: None };
             reply::unknown(StatusCode::GATEWAY_TIMEOUT, text)
         }
     }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,15 +1,16 @@
-//! The entry process: routes requests, owns cells, serves the configuration.
+//! The entry process: routes callers' requests to agents, owns cells of batch workers, and serves
+//! the configuration.
 
 pub mod auth;
 pub mod cells;
 pub mod config;
 pub mod context;
 pub mod headers;
+pub mod heartbeats;
 pub mod http;
 pub mod internal;
 pub mod jobs;
-pub mod lists;
-pub mod members;
+pub mod key_lists;
 pub mod operator;
 pub mod proxy;
 pub mod recovery;
@@ -32,20 +33,21 @@
 use peridotfold_wire::shutdown::{self, Shutdown};
 
 use crate::context::Context;
-use crate::http::Http;
-use crate::internal::Internal;
-use crate::members::Heartbeats;
+use crate::heartbeats::Heartbeats;
+use crate::http::HttpHandler;
+use crate::internal::InternalHandler;
 use crate::settings::Settings;
 
-/// Time limit of one call of the store. Below the heartbeat interval, so that a slow store delays
-/// a round by no more than one interval.
+/// Timeout of one store call. Below the heartbeat interval, so that a slow store delays a heartbeat
+/// round by at most one interval.
 const STORE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Time after the start of a shutdown at which responses without a known length are ended at a
-/// chunk boundary. Without it, an entry with an endless feed could never be replaced.
+/// Time after the start of a shutdown at which responses of unknown length are ended at a chunk
+/// boundary. Without this limit, an endless response would block the shutdown forever.
 const DRAIN_GRACE: Duration = Duration::from_secs(30);
-/// Time allowed for open connections of other processes at the end of a shutdown.
-const CLOSE_LIMIT: Duration = Duration::from_secs(2);
-const UPKEEP: Duration = Duration::from_secs(5);
+/// Longest wait at the end of a shutdown for the connections of agents and other entries.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time between two maintenance runs of the metrics recorder.
+const METRICS_UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Runs an entry until SIGTERM or SIGINT, then shuts it down without interrupting a request.
 ///
@@ -55,31 +57,34 @@
 pub async fn run(settings: Settings) -> eyre::Result<()> {
     let store = HttpStore::new(settings.store, STORE_TIMEOUT);
     let (trigger, shutdown) = shutdown::channel();
-    let serving = runtime::spawn(serve(settings, store, shutdown, announce_addresses));
+    let http_task = runtime::spawn(serve(settings, store, shutdown, print_addresses));
     let stopped = future::or(async { Some(runtime::terminated().await) }, async {
-        wait_finished(&serving).await;
+        wait_finished(&http_task).await;
         None
     });
     if let Some(result) = stopped.await {
         result.wrap_err("step=signals")?;
     }
     trigger.fire();
-    serving.await
+    http_task.await
 }
 
+/// Waits until a task has finished, without taking its result.
 async fn wait_finished<T>(task: &smol::Task<T>) {
     while !task.is_finished() {
         runtime::sleep(Duration::from_millis(50)).await;
     }
 }
 
-fn announce_addresses(http: std::net::SocketAddr, internal: std::net::SocketAddr) {
+/// Prints the bound addresses to standard output.
+fn print_addresses(http: std::net::SocketAddr, internal: std::net::SocketAddr) {
     let mut out = std::io::stdout();
     let _ = writeln!(out, "listening http={http} internal={internal}");
     let _ = out.flush();
 }
 
-/// Runs an entry until the signal. `ready` is called with the addresses that are in use.
+/// Runs an entry until the shutdown signal. Calls `ready` with the bound HTTP and internal
+/// addresses.
 ///
 /// # Errors
 ///
@@ -98,51 +103,52 @@
         .wrap_err_with(|| format!("step=bind peer={}", settings.internal))?;
     ready(http.address(), internal.address());
     let (drain, drained) = shutdown::channel();
-    let reached_at = settings.advertise.unwrap_or(internal.address());
-    let context = Arc::new(Context::new(settings, http.address(), reached_at, store, drained));
-    // Each stage of the shutdown ends only after the one before it: requests need the cells,
-    // announcements and heartbeats to the end.
-    let (requests, requests_end) = shutdown::channel();
-    let (cells, cells_end) = shutdown::channel();
-    let (rest, rest_end) = shutdown::channel();
-    let service = Http { context: context.clone(), metrics: metrics_handle() };
-    let serving = runtime::spawn(http.serve(Arc::new(service), requests_end));
-    let owning = runtime::spawn(own_cells(context.clone(), cells_end));
-    let handler = Arc::new(Internal { context: context.clone() });
-    let handling = runtime::spawn(internal.serve(handler, rest_end.clone()));
-    let beating = runtime::spawn(Heartbeats::new(context.clone()).run(rest_end.clone()));
-    let following = runtime::spawn(config::run(context.clone(), rest_end.clone()));
-    let relaying = runtime::spawn(relay::run(context.clone(), rest_end.clone()));
-    let fetching = runtime::spawn(lists::run(context.clone(), rest_end.clone()));
-    let recovering = runtime::spawn(recovery::run(context.clone(), rest_end.clone()));
-    let upkeep = runtime::spawn(upkeep(rest_end));
+    let reachable_at = settings.advertise.unwrap_or(internal.address());
+    let context = Arc::new(Context::new(settings, http.address(), reachable_at, store, drained));
+    // The stages of the shutdown end one after the other, since requests need the cells,
+    // announcements and heartbeats until their end.
+    let (stop_requests, requests_end) = shutdown::channel();
+    let (stop_cells, cells_end) = shutdown::channel();
+    let (stop_rest, rest_end) = shutdown::channel();
+    let service = HttpHandler { context: context.clone(), metrics: metrics_handle() };
+    let http_task = runtime::spawn(http.serve(Arc::new(service), requests_end));
+    let cells_task = runtime::spawn(own_cells(context.clone(), cells_end));
+    let handler = Arc::new(InternalHandler { context: context.clone() });
+    let internal_task = runtime::spawn(internal.serve(handler, rest_end.clone()));
+    let heartbeat_task = runtime::spawn(Heartbeats::new(context.clone()).run(rest_end.clone()));
+    let config_task = runtime::spawn(config::run(context.clone(), rest_end.clone()));
+    let relay_task = runtime::spawn(relay::run(context.clone(), rest_end.clone()));
+    let key_list_task = runtime::spawn(key_lists::run(context.clone(), rest_end.clone()));
+    let recovery_task = runtime::spawn(recovery::run(context.clone(), rest_end.clone()));
+    let metrics_task = runtime::spawn(maintain_metrics(rest_end));
     tracing::info!(event = "entry_started", entry = context.settings.id, id = context.incarnation);
 
     shutdown.wait().await;
     tracing::info!(event = "entry_stopping", entry = context.settings.id);
     context.set_stopping();
-    requests.fire();
-    let draining = runtime::spawn(async move {
+    stop_requests.fire();
+    let drain_task = runtime::spawn(async move {
         runtime::sleep(DRAIN_GRACE).await;
         drain.fire();
     });
-    serving.await;
-    drop(draining);
-    cells.fire();
-    owning.await;
-    rest.fire();
-    beating.await.write_last().await;
-    // Connections to hosts that are gone never end.
-    future::or(handling, runtime::sleep(CLOSE_LIMIT)).await;
-    following.await;
-    relaying.await;
-    fetching.await;
-    recovering.await;
-    upkeep.await;
+    http_task.await;
+    drop(drain_task);
+    stop_cells.fire();
+    cells_task.await;
+    stop_rest.fire();
+    heartbeat_task.await.write_last_heartbeat().await;
+    // Connections to failed hosts never end.
+    future::or(internal_task, runtime::sleep(CLOSE_TIMEOUT)).await;
+    config_task.await;
+    relay_task.await;
+    key_list_task.await;
+    recovery_task.await;
+    metrics_task.await;
     tracing::info!(event = "entry_stopped", entry = context.settings.id);
     Ok(())
 }
 
+/// Takes over and owns cells until the shutdown signal.
 async fn own_cells<S: Store>(context: Arc<Context<S>>, shutdown: Shutdown) {
     let (documents, alive, silence) = (context.clone(), context.clone(), context.clone());
     let run = context.cells.run(
@@ -154,7 +160,7 @@
     run.await;
 }
 
-/// Returns the process's metrics. They are shared by all entries of a process, as in tests.
+/// Returns the metrics of the process. Several entries in one process, as in tests, share them.
 fn metrics_handle() -> PrometheusHandle {
     static HANDLE: OnceLock<PrometheusHandle> = OnceLock::new();
     let install = || {
@@ -168,8 +174,9 @@
     HANDLE.get_or_init(install).clone()
 }
 
-async fn upkeep(shutdown: Shutdown) {
-    while !runtime::sleep_or_shutdown(UPKEEP, &shutdown).await {
+/// Maintains the metrics recorder until the shutdown signal.
+async fn maintain_metrics(shutdown: Shutdown) {
+    while !runtime::sleep_or_shutdown(METRICS_UPKEEP_INTERVAL, &shutdown).await {
         metrics_handle().run_upkeep();
     }
 }
--- a/crates/entry/src/proxy.rs
+++ b/crates/entry/src/proxy.rs
@@ -1,4 +1,6 @@
-//! Callers' requests.
+//! Forwarding of callers' requests to upstreams through their agents.
+//!
+//! Each request ends with an answer, as certainly not run, or as unknown if it may have run.
 
 pub mod attempt;
 pub mod call;
@@ -28,10 +30,10 @@
 use crate::proxy::upload::Upload;
 use crate::{headers, reply, trace};
 
-/// Answers a caller's request.
+/// Answers the request of a caller.
 ///
-/// The exchange runs in a task of its own, which goes on when this future is dropped with the
-/// caller's connection: it then cancels the request and records the outcome of its key.
+/// The exchange runs in a separate task, which continues when this future is dropped with the
+/// caller's connection. The task then cancels the request and records the outcome of its key.
 pub async fn serve<S: Store>(
     context: Arc<Context<S>>,
     request: Request<Incoming>,
@@ -40,11 +42,15 @@
     let id = format!("{:032x}", trace.trace);
     let span = tracing::info_span!("request", trace = %id, path = request.uri().path());
     let (sender, receiver) = async_channel::bounded(1);
-    let (_caller, gone) = shutdown::channel();
-    runtime::spawn(exchange(context, request, trace, gone, sender).instrument(span)).detach();
+    let (_caller, caller_gone) = shutdown::channel();
+    runtime::spawn(exchange(context, request, trace, caller_gone, sender).instrument(span))
+        .detach();
     let mut response = match receiver.recv().await {
         Ok(response) => response,
-        Err(_) => reply::unknown(StatusCode::BAD_GATEWAY, reply::ErrorText::new("task ended")),
+        Err(_) => reply::unknown(
+            StatusCode::BAD_GATEWAY,
+            reply::ErrorBody::new("the request task ended without a response"),
+        ),
     };
     if let Ok(value) = HeaderValue::from_str(&trace::format(&trace)) {
         response.headers_mut().insert(trace::HEADER, value);
@@ -52,11 +58,13 @@
     response
 }
 
+/// Checks and dispatches a request, and passes its response to `sender`. `caller_gone` fires when
+/// the caller's connection is closed.
 async fn exchange<S: Store>(
     context: Arc<Context<S>>,
     request: Request<Incoming>,
     trace: TraceContext,
-    gone: Shutdown,
+    caller_gone: Shutdown,
     sender: Sender<Response<Body>>,
 ) {
     let (parts, incoming) = request.into_parts();
@@ -69,8 +77,8 @@
     };
     let upload = Arc::new(Mutex::new(Upload::new(incoming)));
     let (outcome, in_flight) = match &call.key {
-        Some(key) => keyed::run(&context, &call, key, &upload, &gone).await,
-        None => unkeyed::run(&context, &call, &upload, &gone).await,
+        Some(key) => keyed::run(&context, &call, key, &upload, &caller_gone).await,
+        None => unkeyed::run(&context, &call, &upload, &caller_gone).await,
     };
     record(&call, &outcome);
     match outcome {
@@ -82,29 +90,31 @@
             let _ = sender.send(reply::unknown(status, error)).await;
         }
         Outcome::Answer(answer) => {
-            // Holds the count of requests in flight until the body has ended.
+            // The request counts as in flight until its response body has ended.
             let _in_flight = in_flight;
             pass_on(&call, answer, &context.drained, sender).await;
         }
     }
 }
 
-/// How the body of an answer ended.
+/// How a response body ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum BodyEnd {
+    /// The whole body was forwarded.
     Complete,
     /// Ended by the shutdown of this entry, at a chunk boundary.
     Drained,
-    /// The agent's stream ended early, or the caller is gone.
+    /// The agent's stream ended early, or the caller closed the connection.
     Cut,
 }
 
+/// Passes an upstream's answer on to the caller.
 async fn pass_on(call: &Call, answer: Answer, drained: &Shutdown, sender: Sender<Response<Body>>) {
     let Answer { status, headers, receiver, upload } = answer;
     let (body_sender, body) = Body::parts();
     let mut response = Response::new(body);
     *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
-    headers::add_answer(response.headers_mut(), &headers);
+    headers::add_upstream_headers(response.headers_mut(), &headers);
     let is_endless = !response.headers().contains_key(CONTENT_LENGTH);
     if sender.send(response).await.is_err() {
         return;
@@ -118,13 +128,14 @@
     match upload {
         // The upstream may answer before it has read the request.
         Some(task) if end == BodyEnd::Complete => task.await,
-        // Dropped with the receiver, the stream is reset and the agent gives the request up.
+        // Dropping the task and the receiver resets the stream, on which the agent abandons the
+        // request.
         Some(_) | None => {}
     }
 }
 
-/// Passes the body on. A body that is cut also cuts the caller's connection, since its sender is
-/// dropped without an end.
+/// Passes the response body on to the caller. Dropping `body` without `finish` closes the caller's
+/// connection, so that a truncated body is seen as one.
 async fn download(
     mut receiver: FrameReceiver,
     mut body: BodySender,
@@ -152,7 +163,8 @@
     }
 }
 
-/// Waits for the next frame, the end of the caller's connection, or the drain.
+/// Waits for the next frame, the end of the caller's connection, or the end of the drain period of
+/// a shutdown.
 async fn receive(
     receiver: &mut FrameReceiver,
     body: &BodySender,
@@ -178,6 +190,7 @@
     future::or(drain, future::or(frame, closed)).await
 }
 
+/// Records the outcome of a request in metrics and the log.
 fn record(call: &Call, outcome: &Outcome) {
     let elapsed = runtime::now().saturating_sub(call.started);
     let name = match outcome {
@@ -197,7 +210,7 @@
             tracing::debug!(event = "request_answered", service = call.service, status, micros);
         }
         Outcome::NotRun { reason, .. } => {
-            let reason = reply::describe(*reason);
+            let reason = reply::describe_reason(*reason);
             tracing::debug!(event = "request_not_run", service = call.service, reason, micros);
         }
         Outcome::Unknown { error, .. } => {
--- a/crates/entry/src/proxy/attempt.rs
+++ b/crates/entry/src/proxy/attempt.rs
@@ -1,4 +1,4 @@
-//! One dispatch of a request to an agent.
+//! One attempt to run a request: its dispatch to one agent.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,14 +20,14 @@
 use crate::context::Context;
 use crate::proxy::call::Call;
 use crate::proxy::upload::SharedUpload;
-use crate::reply::ErrorText;
+use crate::reply::ErrorBody;
 
-/// Time for which a final answer waits for the agent's proof that the request was not started:
-/// a few round trips between data centres.
+/// Longest wait for the agent's proof that a request was not started, before its outcome counts as
+/// unknown. A few round trips between data centres.
 const PROOF_WAIT: Duration = Duration::from_millis(25);
-/// Time after which a cancellation is given up.
-const CANCEL_LIMIT: Duration = Duration::from_secs(1);
-/// Retry-after of a request that was not dispatched.
+/// Timeout of a cancellation message.
+const CANCEL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Value of the `Retry-After` header when no agent gave one.
 pub const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// How a dispatch ended.
@@ -35,31 +35,34 @@
 pub enum Outcome {
     /// The head of the answer arrived.
     Answer(Answer),
-    /// Certainly not run. `reached` tells whether the agent may have received it.
+    /// The request was certainly not run. `reached` tells whether the agent may have received it.
     NotRun { reason: RefuseReason, retry_after: Duration, reached: bool },
-    /// May have run.
-    Unknown { status: StatusCode, error: ErrorText },
-    /// The caller is gone.
+    /// The request may have run.
+    Unknown { status: StatusCode, error: ErrorBody },
+    /// The caller closed the connection. `not_run` tells whether the request was certainly not run.
     Abandoned { not_run: bool },
 }
 
-/// The head of an answer, with the streams that go on.
+/// The head of an answer, with the streams of its body and of the request body.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
     pub headers: Vec<(Bytes, Bytes)>,
     pub receiver: FrameReceiver,
+    /// Sends the rest of the request body, if the request has one.
     pub upload: Option<Task<()>>,
 }
 
-enum Stop {
+/// Reason to stop waiting for an answer.
+enum StopReason {
     Deadline,
     Gone,
 }
 
-type Exchanged = Result<(ResponseHead, FrameReceiver, Option<Task<()>>), WireError>;
+/// Head of the response, receiver of its body, and the task that sends the request body.
+type ExchangeResult = Result<(ResponseHead, FrameReceiver, Option<Task<()>>), WireError>;
 
-/// Counts a request as in flight until dropped.
+/// Counts a request as in flight at its target until dropped.
 pub struct InFlight<S: Store> {
     context: Arc<Context<S>>,
     target: Target,
@@ -67,7 +70,7 @@
 }
 
 impl<S: Store> InFlight<S> {
-    /// Begins to count.
+    /// Starts to count a request.
     pub fn begin(context: &Arc<Context<S>>, target: &Target, service: &str) -> Self {
         context.upstreams.lock().begin(target, service);
         let context = context.clone();
@@ -88,10 +91,10 @@
     call: &Call,
     target: &Target,
     upload: &SharedUpload,
-    gone: &Shutdown,
+    caller_gone: &Shutdown,
 ) -> Outcome {
     let begun = runtime::now();
-    let outcome = dispatch(context, call, target, upload, gone).await;
+    let outcome = dispatch(context, call, target, upload, caller_gone).await;
     let feedback = match &outcome {
         Outcome::Answer(answer) if answer.status < 500 => {
             Feedback::Answered(runtime::now().saturating_sub(begun))
@@ -99,7 +102,7 @@
         Outcome::NotRun { reached: false, reason: RefuseReason::UpstreamUnreachable, .. } => {
             Feedback::Unreachable
         }
-        // It refuses all requests until it announces something else.
+        // The agent refuses all requests until its next announcement with another state.
         Outcome::NotRun {
             reason: RefuseReason::Leaving | RefuseReason::WrongIncarnation | RefuseReason::NoConfig,
             ..
@@ -116,45 +119,48 @@
     outcome
 }
 
+/// Connects to the agent, sends the request, and cancels it at the deadline or when the caller
+/// closes the connection.
 async fn dispatch<S: Store>(
     context: &Arc<Context<S>>,
     call: &Call,
     target: &Target,
     upload: &SharedUpload,
-    gone: &Shutdown,
+    caller_gone: &Shutdown,
 ) -> Outcome {
     let connected = future::or(async { Ok(context.peers.connect(&target.address).await) }, async {
-        Err(stop(call, gone).await)
+        Err(wait_stop(call, caller_gone).await)
     });
     match connected.await {
         Ok(Ok(())) => {}
         Ok(Err(error)) => return unreachable(&error),
-        Err(Stop::Deadline) => return not_run(RefuseReason::DeadlinePassed, false),
-        Err(Stop::Gone) => return Outcome::Abandoned { not_run: true },
+        Err(StopReason::Deadline) => return not_run(RefuseReason::DeadlinePassed, false),
+        Err(StopReason::Gone) => return Outcome::Abandoned { not_run: true },
     }
     let id = context.next_request();
     let mut exchange = Box::pin(exchange(&context.peers, call, target, id.clone(), upload));
-    let stopped =
-        future::or(async { Ok(exchange.as_mut().await) }, async { Err(stop(call, gone).await) });
+    let stopped = future::or(async { Ok(exchange.as_mut().await) }, async {
+        Err(wait_stop(call, caller_gone).await)
+    });
     match stopped.await {
-        Ok(Ok(exchanged)) => from_head(exchanged),
+        Ok(Ok(exchanged)) => outcome_from_head(exchanged),
         Ok(Err(error)) if error.is_not_sent() => unreachable(&error),
         Ok(Err(error)) => {
             drop(exchange);
             after_failure(context, target, id, &error).await
         }
-        Err(Stop::Gone) => {
+        Err(StopReason::Gone) => {
             drop(exchange);
             let reply = cancel(context, target, id).await;
             Outcome::Abandoned { not_run: reply == Some(CancelReply::NotStarted) }
         }
-        Err(Stop::Deadline) => {
+        Err(StopReason::Deadline) => {
             let cancelled = cancel(context, target, id.clone());
             let proof = future::or(async { Ok(exchange.as_mut().await) }, async {
-                Err(within(PROOF_WAIT, cancelled).await)
+                Err(with_timeout(PROOF_WAIT, cancelled).await)
             });
             match proof.await {
-                Ok(Ok(exchanged)) => from_head(exchanged),
+                Ok(Ok(exchanged)) => outcome_from_head(exchanged),
                 Err(Some(CancelReply::NotStarted)) => not_run(RefuseReason::DeadlinePassed, true),
                 Ok(Err(_)) | Err(_) => deadline_unknown(target),
             }
@@ -169,14 +175,14 @@
     target: &Target,
     id: RequestId,
     upload: &SharedUpload,
-) -> Exchanged {
+) -> ExchangeResult {
     let head = call.head(id, target.incarnation);
     let (sender, pending) = peers.open(&target.address, "request", &head).await?;
     let mut body = upload.lock_arc().await;
     let is_empty = body.is_empty();
     let upload = async move {
-        // An agent that refuses a request may close its side before it has read the body: only
-        // its answer tells the outcome.
+        // An agent that refuses a request may close the stream before it has read the body, so only
+        // its response tells the outcome.
         if let Err(error) = body.send(sender).await {
             tracing::debug!(event = "upload_ended", %error);
         }
@@ -194,12 +200,15 @@
         None => Err(WireError::new(
             peridotfold_wire::error::Step::Receive,
             target.address.as_str(),
-            "stream ended without a head",
+            "the stream ended before the response head",
         )),
     }
 }
 
-fn from_head((head, receiver, upload): (ResponseHead, FrameReceiver, Option<Task<()>>)) -> Outcome {
+/// Converts the head of a response to the outcome of the dispatch.
+fn outcome_from_head(
+    (head, receiver, upload): (ResponseHead, FrameReceiver, Option<Task<()>>),
+) -> Outcome {
     match head {
         ResponseHead::Answer { status, headers, replayed: _ } => {
             Outcome::Answer(Answer { status, headers, receiver, upload })
@@ -209,7 +218,7 @@
         }
         ResponseHead::Unknown { detail } => Outcome::Unknown {
             status: StatusCode::BAD_GATEWAY,
-            error: ErrorText {
+            error: ErrorBody {
                 error: format!("may have run: {detail}"),
                 field: None,
                 step: Some("receive".into()),
@@ -219,18 +228,19 @@
     }
 }
 
-/// Asks the agent for proof after the stream of a dispatch failed.
+/// Cancels a dispatch whose stream failed, and returns its outcome: not run if the agent proves it,
+/// otherwise unknown.
 async fn after_failure<S: Store>(
     context: &Arc<Context<S>>,
     target: &Target,
     id: RequestId,
     error: &WireError,
 ) -> Outcome {
-    match within(PROOF_WAIT, cancel(context, target, id)).await {
+    match with_timeout(PROOF_WAIT, cancel(context, target, id)).await {
         Some(CancelReply::NotStarted) => not_run(RefuseReason::UpstreamUnreachable, true),
         _ => Outcome::Unknown {
             status: StatusCode::BAD_GATEWAY,
-            error: ErrorText {
+            error: ErrorBody {
                 error: format!("may have run: {}", error.detail),
                 field: None,
                 step: Some(error.step.to_string()),
@@ -240,7 +250,7 @@
     }
 }
 
-/// Cancels a dispatch. The message is sent also when the result is not waited for.
+/// Cancels a dispatch. The message is sent even if the returned future is dropped.
 pub fn cancel<S: Store>(
     context: &Arc<Context<S>>,
     target: &Target,
@@ -249,7 +259,7 @@
     let (peers, address) = (context.peers.clone(), target.address.clone());
     let (sender, receiver) = async_channel::bounded(1);
     runtime::spawn(async move {
-        let result = peers.call(&address, "cancel", &Cancel { id }, CANCEL_LIMIT).await;
+        let result = peers.call(&address, "cancel", &Cancel { id }, CANCEL_TIMEOUT).await;
         if let Err(error) = &result {
             tracing::debug!(event = "cancel_failed", %error);
         }
@@ -259,7 +269,8 @@
     async move { receiver.recv().await.ok().flatten() }
 }
 
-async fn within<T>(
+/// Runs `task` for at most `limit`; returns `None` after that.
+async fn with_timeout<T>(
     limit: Duration,
     task: impl std::future::Future<Output = Option<T>>,
 ) -> Option<T> {
@@ -270,15 +281,16 @@
     .await
 }
 
-async fn stop(call: &Call, gone: &Shutdown) -> Stop {
+/// Waits for the deadline or the end of the caller's connection.
+async fn wait_stop(call: &Call, caller_gone: &Shutdown) -> StopReason {
     future::or(
         async {
             runtime::sleep(call.remaining()).await;
-            Stop::Deadline
+            StopReason::Deadline
         },
         async {
-            gone.wait().await;
-            Stop::Gone
+            caller_gone.wait().await;
+            StopReason::Gone
         },
     )
     .await
@@ -288,15 +300,17 @@
     Outcome::NotRun { reason, retry_after: RETRY_AFTER, reached }
 }
 
+/// Returns the outcome of a request that could not be sent to the agent.
 fn unreachable(error: &WireError) -> Outcome {
     tracing::info!(event = "upstream_unreachable", %error);
     not_run(RefuseReason::UpstreamUnreachable, false)
 }
 
+/// Returns the outcome of a request that may have run when its deadline passed.
 fn deadline_unknown(target: &Target) -> Outcome {
     Outcome::Unknown {
         status: StatusCode::GATEWAY_TIMEOUT,
-        error: ErrorText {
+        error: ErrorBody {
             error: "may have run: no answer within the deadline".into(),
             field: None,
             step: Some("timeout".into()),
--- a/crates/entry/src/proxy/call.rs
+++ b/crates/entry/src/proxy/call.rs
@@ -1,4 +1,4 @@
-//! A caller's request, checked.
+//! Validation of callers' requests: service, credential, idempotency key and timeout.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,25 +18,29 @@
 use crate::context::Context;
 use crate::{headers, reply};
 
-/// Path prefix of callers' requests.
+/// Path prefix of requests to services.
 pub const PREFIX: &str = "/s/";
-const KEY_LIMIT: usize = 256;
-/// The entry cannot ask others yet whether they have dispatched the key.
-const NO_CONFIG: &str = "no configuration yet; an earlier request with this key may have run";
-/// Longest deadline that is accepted, so that time arithmetic cannot overflow.
-const TIMEOUT_LIMIT: Duration = Duration::from_secs(24 * 3_600);
-
-/// A request that may be dispatched.
+/// Longest idempotency key.
+const MAX_KEY_BYTES: usize = 256;
+/// Error for a request with a key while this entry has no configuration. Before that, it cannot ask
+/// other entries whether they have dispatched the key.
+const NO_CONFIG_TEXT: &str = "no configuration yet; an earlier request with this key may have run";
+/// Longest timeout of a request; longer ones are shortened, so that time arithmetic cannot
+/// overflow.
+const MAX_TIMEOUT: Duration = Duration::from_secs(24 * 3_600);
+
+/// A valid request of a caller.
 #[derive(Debug)]
 pub struct Call {
     pub service: ServiceId,
     pub method: Method,
     pub path: String,
     pub headers: Vec<(Bytes, Bytes)>,
-    /// Idempotency key, scoped by team.
+    /// Idempotency key, prefixed with the team so that teams cannot share keys.
     pub key: Option<Bytes>,
     pub started: Time,
     pub deadline: Time,
+    /// Version of the configuration that the request was checked against.
     pub version: ConfigVersion,
     pub trace: TraceContext,
 }
@@ -46,8 +50,8 @@
     ///
     /// # Errors
     ///
-    /// Returns the response that rejects the request. It tells that the request was not run, unless
-    /// the request has a key: an earlier request with that key may have run.
+    /// Returns the response that rejects the request. Its outcome is `not-run`, or `unknown` for a
+    /// request with a key, since an earlier request with that key may have run.
     pub fn check<S: Store>(
         context: &Arc<Context<S>>,
         parts: &Parts,
@@ -67,27 +71,29 @@
         let Some(current) = context.current() else {
             let wait = Duration::from_secs(1);
             return Err(Box::new(match has_key(parts) {
-                true => reply::unknown(StatusCode::BAD_GATEWAY, reply::ErrorText::new(NO_CONFIG)),
+                true => {
+                    reply::unknown(StatusCode::BAD_GATEWAY, reply::ErrorBody::new(NO_CONFIG_TEXT))
+                }
                 false => reply::not_run(RefuseReason::NoConfig, wait),
             }));
         };
-        let (name, path) = split(parts);
+        let (name, path) = split_path(parts);
         let Some(service) = current.document.services.get(name) else {
             return Err(refuse(StatusCode::NOT_FOUND, format!("no service {name}")));
         };
         let digest = &context.settings.operator_digest;
         let identity = auth::identify(&parts.headers, &current.document, digest);
-        let team = allow(service, identity)?;
-        let key = key(parts, team.as_deref())?;
+        let team = authorize(service, identity)?;
+        let key = parse_key(parts, team.as_deref())?;
         let started = runtime::now();
         Ok(Call {
             service: name.to_owned(),
             method: parts.method.clone(),
-            headers: headers::of_request(&parts.headers, team.as_deref()),
+            headers: headers::for_upstream(&parts.headers, team.as_deref()),
             path,
             key,
             started,
-            deadline: started + timeout(parts, service)?,
+            deadline: started + parse_timeout(parts, service)?,
             version: current.version,
             trace,
         })
@@ -99,12 +105,12 @@
         [M::GET, M::HEAD, M::OPTIONS, M::PUT, M::DELETE].contains(&self.method)
     }
 
-    /// Returns the time that is left.
+    /// Returns the time left until the deadline.
     pub fn remaining(&self) -> Duration {
         self.deadline.saturating_sub(runtime::now())
     }
 
-    /// Builds the head of one dispatch.
+    /// Builds the message head of one dispatch.
     pub fn head(&self, id: RequestId, agent_incarnation: Incarnation) -> RequestHead {
         RequestHead {
             id,
@@ -121,12 +127,13 @@
     }
 }
 
+/// Returns an error response with the outcome `not-run`.
 fn refuse(status: StatusCode, text: impl Into<String>) -> Box<Response<Body>> {
-    Box::new(reply::refused(status, text))
+    Box::new(reply::rejected(status, text))
 }
 
 /// Splits `/s/<service>/<path>?<query>` into the service and the upstream's path and query.
-fn split(parts: &Parts) -> (&str, String) {
+fn split_path(parts: &Parts) -> (&str, String) {
     let path = parts.uri.path();
     let rest = path.strip_prefix(PREFIX).unwrap_or_default();
     let (service, path) = rest.split_once('/').unwrap_or((rest, ""));
@@ -137,13 +144,13 @@
     (service, path)
 }
 
-/// Returns the caller's team if the caller may use the service.
-fn allow(service: &Service, identity: Identity) -> Result<Option<TeamId>, Box<Response<Body>>> {
+/// Returns the caller's team, or the response that rejects a caller who may not use the service.
+fn authorize(service: &Service, identity: Identity) -> Result<Option<TeamId>, Box<Response<Body>>> {
     match identity {
         Identity::Team(team) if service.teams.is_empty() || service.teams.contains(&team) => {
             Ok(Some(team))
         }
-        // A service without teams may use credentials of its own.
+        // A service without teams may have credentials of its own in the same header.
         _ if service.teams.is_empty() => Ok(None),
         Identity::Team(_) | Identity::Operator => {
             Err(refuse(StatusCode::FORBIDDEN, "the team may not use this service"))
@@ -154,25 +161,28 @@
     }
 }
 
+/// Tells whether the request has a valid idempotency key.
 fn has_key(parts: &Parts) -> bool {
-    parts.headers.get(headers::KEY).is_some_and(|key| (1..=KEY_LIMIT).contains(&key.len()))
+    parts.headers.get(headers::KEY).is_some_and(|key| (1..=MAX_KEY_BYTES).contains(&key.len()))
 }
 
-fn key(parts: &Parts, team: Option<&str>) -> Result<Option<Bytes>, Box<Response<Body>>> {
+/// Returns the idempotency key prefixed with the team, or the response that rejects the key.
+fn parse_key(parts: &Parts, team: Option<&str>) -> Result<Option<Bytes>, Box<Response<Body>>> {
     let Some(value) = parts.headers.get(headers::KEY) else { return Ok(None) };
-    if value.is_empty() || value.len() > KEY_LIMIT {
-        let text = format!("{} must have 1 to {KEY_LIMIT} bytes", headers::KEY);
+    if value.is_empty() || value.len() > MAX_KEY_BYTES {
+        let text = format!("{} must have 1 to {MAX_KEY_BYTES} bytes", headers::KEY);
         return Err(refuse(StatusCode::BAD_REQUEST, text));
     }
     let scope = team.unwrap_or_default().as_bytes();
     Ok(Some(Bytes::from([scope, b"\0", value.as_bytes()].concat())))
 }
 
-fn timeout(parts: &Parts, service: &Service) -> Result<Duration, Box<Response<Body>>> {
+/// Returns the caller's timeout or the service's default.
+fn parse_timeout(parts: &Parts, service: &Service) -> Result<Duration, Box<Response<Body>>> {
     let Some(value) = parts.headers.get(headers::TIMEOUT) else { return Ok(service.timeout()) };
     let millis = value.to_str().ok().and_then(|text| text.trim().parse::<u64>().ok());
     match millis.map(Duration::from_millis) {
-        Some(timeout) if !timeout.is_zero() => Ok(timeout.min(TIMEOUT_LIMIT)),
+        Some(timeout) if !timeout.is_zero() => Ok(timeout.min(MAX_TIMEOUT)),
         _ => {
             let text = format!("{} must be a number of milliseconds above 0", headers::TIMEOUT);
             Err(refuse(StatusCode::BAD_REQUEST, text))
--- a/crates/entry/src/proxy/unkeyed.rs
+++ b/crates/entry/src/proxy/unkeyed.rs
@@ -14,19 +14,20 @@
 use crate::proxy::call::Call;
 use crate::proxy::upload::SharedUpload;
 
-/// Dispatches a request, and again to another upstream while that is safe and within the budget.
+/// Dispatches a request, and retries at other upstreams while that is safe and within the retry
+/// budget.
 pub async fn run<S: Store>(
     context: &Arc<Context<S>>,
     call: &Call,
     upload: &SharedUpload,
-    gone: &Shutdown,
+    caller_gone: &Shutdown,
 ) -> (Outcome, Option<InFlight<S>>) {
     context.budget.lock().earn();
     let mut tried: Vec<AgentId> = Vec::new();
     let Some(mut target) = choose(context, call, &tried) else { return (no_upstream(), None) };
     loop {
         let in_flight = InFlight::begin(context, &target, &call.service);
-        let outcome = attempt::run(context, call, &target, upload, gone).await;
+        let outcome = attempt::run(context, call, &target, upload, caller_gone).await;
         if !may_retry(call, &outcome) || !upload.lock().await.is_replayable() {
             return (outcome, Some(in_flight));
         }
@@ -39,13 +40,14 @@
     }
 }
 
+/// Chooses a live upstream that was not tried yet.
 fn choose<S: Store>(context: &Arc<Context<S>>, call: &Call, tried: &[AgentId]) -> Option<Target> {
     let mut rng = fastrand::Rng::new();
     context.upstreams.lock().choose(runtime::now(), &call.service, tried, &mut rng)
 }
 
-/// Tells whether a request was certainly not run and may be sent to another upstream. A request
-/// that is not idempotent is never sent again once an agent may have received it.
+/// Tells whether a request was certainly not run and may be retried at another upstream. A request
+/// that is not idempotent is not retried once an agent may have received it.
 fn may_retry(call: &Call, outcome: &Outcome) -> bool {
     match outcome {
         Outcome::NotRun { reason: RefuseReason::DeadlinePassed, .. } => false,
@@ -56,6 +58,7 @@
     }
 }
 
+/// Returns the outcome of a request without a live upstream.
 fn no_upstream() -> Outcome {
     let reason = RefuseReason::NoUpstream;
     Outcome::NotRun { reason, retry_after: RETRY_AFTER, reached: false }
--- a/crates/entry/src/recovery.rs
+++ b/crates/entry/src/recovery.rs
@@ -1,4 +1,7 @@
-//! Takes over the keys that the process before a restart of this entry dispatched.
+//! Recovery of idempotency keys after a restart of this entry.
+//!
+//! A restarted entry does not know the keys that its previous incarnation dispatched. It reads them
+//! from the key tables of the holders, the agents that may have run these keys.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,24 +17,26 @@
 
 use crate::context::Context;
 
-/// Time between two looks at which holders are left.
-const PERIOD: Duration = Duration::from_millis(100);
-/// Time allowed for one page.
-const PAGE_TIME: Duration = Duration::from_millis(500);
-/// Time between two pages of one holder, whose node has 4 KB/s for control.
+/// Time between two checks for holders whose key table was not read yet.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Timeout of the request for one page of a key table.
+const PAGE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Time between two pages from one holder, whose node has 4 KB/s for control traffic.
 const PAGE_PAUSE: Duration = Duration::from_secs(1);
 
-/// Reads the tables of the holders until all is taken over, or until the keys of the predecessor
-/// no longer matter.
+/// Reads the key tables of the holders until all keys of the previous incarnation are recovered, or
+/// until their retention period is over.
 pub async fn run<S: Store>(context: Arc<Context<S>>, shutdown: Shutdown) {
     let end = time::lease_wait(peridotfold_core::keys::RETENTION);
-    while !runtime::sleep_or_shutdown(PERIOD, &shutdown).await && runtime::now() < end {
+    while !runtime::sleep_or_shutdown(POLL_INTERVAL, &shutdown).await && runtime::now() < end {
         let Some((ended, holders)) = context.keys.lock().recovery_sources() else { continue };
         let tasks: Vec<_> = holders
             .into_iter()
             .map(|(service, holder)| {
                 let context = context.clone();
-                runtime::spawn(async move { take_over(&context, service, holder, ended).await })
+                runtime::spawn(
+                    async move { take_over_keys(&context, service, holder, ended).await },
+                )
             })
             .collect();
         let reading = async {
@@ -42,28 +47,30 @@
         future::or(reading, shutdown.wait()).await;
         if context.keys.lock().is_recovered() {
             tracing::info!(event = "keys_recovered", entry = context.settings.id, ended);
-            // Moves that begin from now on rely on the record to say so.
+            // Later moves rely on this entry's record, which now has to show the recovery.
             context.request_round();
             return;
         }
     }
 }
 
-async fn take_over<S: Store>(
+/// Recovers the keys of the incarnation `ended` from one holder.
+async fn take_over_keys<S: Store>(
     context: &Arc<Context<S>>,
     service: String,
     holder: Holder,
     ended: Incarnation,
 ) {
-    let Some(table) = read(context, &service, &holder, ended).await else { return };
+    let Some(table) = read_table(context, &service, &holder, ended).await else { return };
     let count = table.len();
     let Holder { agent, .. } = &holder;
     tracing::info!(event = "key_table_read", service, agent, ended, count);
     context.keys.lock().recover_from(runtime::now(), &service, &holder, &table);
 }
 
-/// Reads the whole table of a holder. `None` when it cannot be reached or has restarted.
-async fn read<S: Store>(
+/// Reads the whole key table of a holder. Returns `None` when the holder is unreachable or has
+/// restarted.
+async fn read_table<S: Store>(
     context: &Arc<Context<S>>,
     service: &str,
     holder: &Holder,
@@ -81,13 +88,13 @@
         after: None,
     };
     loop {
-        match context.peers.call(&target.address, "keytable", &request, PAGE_TIME).await {
+        match context.peers.call(&target.address, "keytable", &request, PAGE_TIMEOUT).await {
             Ok(KeyTableReply::Page { keys, more }) => {
                 let last = keys.last().map(|key| key.hash);
                 table.extend(keys);
                 match more {
                     false => return Some(table),
-                    // A page has to bring the table forward.
+                    // A page without new keys would be requested forever.
                     true if last <= request.after => return None,
                     true => request.after = last,
                 }
@@ -95,7 +102,7 @@
             Ok(KeyTableReply::Restarted) => return None,
             Err(error) => {
                 tracing::info!(event = "key_table_failed", agent = holder.agent, %error);
-                // A holder that does not answer is not asked at the rate of the first looks.
+                // A failing holder is asked less often than at every check.
                 runtime::sleep(PAGE_PAUSE).await;
                 return None;
             }
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -1,4 +1,7 @@
-//! Passes announcements on to entries that the agent does not announce itself to.
+//! Relay of agents' announcements between entries.
+//!
+//! An agent announces itself only to its home entries. Some of these relay the announcement to the
+//! other entries.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -14,69 +17,88 @@
 
 use crate::context::Context;
 
-/// Time between two messages to an entry. Together with the announcement period and the expiry, a
-/// leaving upstream is known everywhere within 4 s.
-const PERIOD: Duration = Duration::from_millis(500);
-/// Time allowed for one message; the announcements in it are of no use afterwards.
-const LIMIT: Duration = Duration::from_millis(900);
-/// Announcements in one message: at about 105 bytes each, well below the frame limit.
-const PAGE: usize = 2_000;
+/// Time between two relay messages to an entry. Together with the interval and the expiry of
+/// announcements, all entries know of a leaving upstream within 4 s.
+const RELAY_INTERVAL: Duration = Duration::from_millis(500);
+/// Timeout of one relay message, after which its announcements are outdated.
+const RELAY_TIMEOUT: Duration = Duration::from_millis(900);
+/// Most announcements in one message. At about 105 bytes each, well below the frame limit.
+const MAX_PAGE_LEN: usize = 2_000;
 
+/// An announcement to relay.
 #[derive(Debug)]
-struct Heard {
-    at: Time,
+struct PendingAnnounce {
+    received: Time,
     announce: Announce,
+    /// Home entries of the agent, which receive the announcement directly.
     homes: BTreeSet<EntryId>,
 }
 
-/// Announcements that wait to be passed on, the newest of each agent.
+/// Announcements to relay, the newest of each agent.
 #[derive(Debug, Default)]
-pub struct Relays {
-    waiting: HashMap<AgentId, Heard>,
+pub struct RelayQueue {
+    queued: HashMap<AgentId, PendingAnnounce>,
 }
 
-impl Relays {
-    /// Adds an announcement that arrived first-hand, if `own` is one of those that pass it on.
-    pub fn add(&mut self, own: &EntryId, at: Time, announce: Announce, entries: &[EntryAddress]) {
+impl RelayQueue {
+    /// Adds an announcement received from the agent itself, if the entry `own` relays the agent's
+    /// announcements.
+    pub fn add(
+        &mut self,
+        own: &EntryId,
+        received: Time,
+        announce: Announce,
+        entries: &[EntryAddress],
+    ) {
         if entries.len() <= HOME_ENTRIES {
             return;
         }
         let homes = homes::homes(&announce.agent, &announce.data_centre, entries);
         if homes::is_relaying(own, &homes) {
             let homes = homes.into_iter().map(|home| home.entry.clone()).collect();
-            self.waiting.insert(announce.agent.clone(), Heard { at, announce, homes });
+            self.queued
+                .insert(announce.agent.clone(), PendingAnnounce { received, announce, homes });
         }
     }
 
-    fn take(&mut self) -> Vec<Heard> {
-        self.waiting.drain().map(|(_, heard)| heard).collect()
+    /// Removes and returns the queued announcements.
+    fn take(&mut self) -> Vec<PendingAnnounce> {
+        self.queued.drain().map(|(_, pending)| pending).collect()
     }
 }
 
-/// Passes announcements on until the signal.
+/// Relays announcements until the shutdown signal.
 pub async fn run<S: Store>(context: Arc<Context<S>>, shutdown: Shutdown) {
-    while !runtime::sleep_or_shutdown(PERIOD, &shutdown).await {
-        let heard = Arc::new(context.relays.lock().take());
-        if heard.is_empty() {
+    while !runtime::sleep_or_shutdown(RELAY_INTERVAL, &shutdown).await {
+        let pending = Arc::new(context.relays.lock().take());
+        if pending.is_empty() {
             continue;
         }
         for entry in context.entry_addresses() {
             if entry.entry != context.settings.id {
-                let send = send(context.clone(), entry, heard.clone());
+                let send = send(context.clone(), entry, pending.clone());
                 runtime::spawn(send).detach();
             }
         }
     }
 }
 
-async fn send<S: Store>(context: Arc<Context<S>>, entry: EntryAddress, heard: Arc<Vec<Heard>>) {
-    let missing: Vec<&Heard> =
-        heard.iter().filter(|heard| !heard.homes.contains(&entry.entry)).collect();
-    for page in missing.chunks(PAGE) {
+/// Sends one entry the announcements that it did not receive from the agents.
+async fn send<S: Store>(
+    context: Arc<Context<S>>,
+    entry: EntryAddress,
+    pending: Arc<Vec<PendingAnnounce>>,
+) {
+    let missing: Vec<&PendingAnnounce> =
+        pending.iter().filter(|pending| !pending.homes.contains(&entry.entry)).collect();
+    for page in missing.chunks(MAX_PAGE_LEN) {
         let now = runtime::now();
-        let pair = |heard: &&Heard| (heard.announce.clone(), now.saturating_sub(heard.at));
+        let pair = |pending: &&PendingAnnounce| {
+            (pending.announce.clone(), now.saturating_sub(pending.received))
+        };
         let relay = Relay { announcements: page.iter().map(pair).collect() };
-        let sent: Result<(), _> = context.peers.call(&entry.address, "relay", &relay, LIMIT).await;
+        let sent: Result<(), _> =
+            context.peers.call(&entry.address, "relay", &relay, RELAY_TIMEOUT).await;
         if let Err(error) = sent {
             tracing::debug!(event = "relay_failed", entry = entry.entry, %error);
             return;
--- a/crates/entry/src/reply.rs
+++ b/crates/entry/src/reply.rs
@@ -1,4 +1,4 @@
-//! Responses that an entry makes itself.
+//! HTTP responses that originate from the entry, not from an upstream.
 
 use std::time::Duration;
 
@@ -10,38 +10,42 @@
 
 use crate::headers;
 
-/// An error as told to callers and operators.
+/// JSON body of an error response to callers and operators.
 #[derive(Debug, Default, Serialize)]
-pub struct ErrorText {
+pub struct ErrorBody {
+    /// Description of the error.
     pub error: String,
+    /// Request field at fault.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub field: Option<String>,
+    /// Processing step that failed.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub step: Option<String>,
+    /// Address of the process whose call failed.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub peer: Option<String>,
 }
 
-impl ErrorText {
-    /// Builds an error that names no field, step or peer.
+impl ErrorBody {
+    /// Creates an error body without field, step and peer.
     pub fn new(error: impl Into<String>) -> Self {
-        ErrorText { error: error.into(), ..ErrorText::default() }
+        ErrorBody { error: error.into(), ..ErrorBody::default() }
     }
 }
 
 /// Returns a JSON response.
 pub fn json(status: StatusCode, value: &impl Serialize) -> Response<Body> {
     match serde_json::to_vec(value) {
-        Ok(bytes) => typed(status, "application/json", bytes),
+        Ok(bytes) => with_content_type(status, "application/json", bytes),
         Err(error) => {
             tracing::error!(event = "encode_failed", %error);
-            typed(StatusCode::INTERNAL_SERVER_ERROR, "text/plain", Vec::new())
+            with_content_type(StatusCode::INTERNAL_SERVER_ERROR, "text/plain", Vec::new())
         }
     }
 }
 
-/// Returns a response with a body of the given type.
-pub fn typed(
+/// Returns a response with a body of the given content type.
+pub fn with_content_type(
     status: StatusCode,
     content: &'static str,
     body: impl Into<bytes::Bytes>,
@@ -52,44 +56,44 @@
     response
 }
 
-/// Returns an error without further parts.
+/// Returns an error response without field, step, peer and outcome.
 pub fn error(status: StatusCode, text: impl Into<String>) -> Response<Body> {
-    json(status, &ErrorText::new(text))
+    json(status, &ErrorBody::new(text))
 }
 
-/// Returns the outcome of a request that was certainly not run.
+/// Returns the response to a request that was certainly not run and may be retried.
 pub fn not_run(reason: RefuseReason, retry_after: Duration) -> Response<Body> {
     let status = match reason {
         RefuseReason::Quota => StatusCode::TOO_MANY_REQUESTS,
         _ => StatusCode::SERVICE_UNAVAILABLE,
     };
-    let mut response = refused(status, format!("not run: {}", describe(reason)));
-    // Whole seconds; zero would invite an immediate retry.
+    let mut response = rejected(status, format!("not run: {}", describe_reason(reason)));
+    // The header has whole seconds; zero would invite an immediate retry.
     let seconds = retry_after.as_millis().div_ceil(1_000).max(1) as u64;
     response.headers_mut().insert(RETRY_AFTER, HeaderValue::from(seconds));
     response
 }
 
-/// Returns the rejection of a request that cannot succeed when it is repeated.
-pub fn refused(status: StatusCode, text: impl Into<String>) -> Response<Body> {
+/// Returns an error response with the outcome `not-run`.
+pub fn rejected(status: StatusCode, text: impl Into<String>) -> Response<Body> {
     let mut response = error(status, text);
     response.headers_mut().insert(headers::OUTCOME, HeaderValue::from_static("not-run"));
     response
 }
 
-/// Returns the outcome of a request that may have run.
-pub fn unknown(status: StatusCode, error: ErrorText) -> Response<Body> {
+/// Returns the response to a request that may have run.
+pub fn unknown(status: StatusCode, error: ErrorBody) -> Response<Body> {
     with_unknown_outcome(json(status, &error))
 }
 
-/// Returns the rejection of a request whose key may have run with an earlier request.
+/// Sets the outcome of a response to `unknown`.
 pub fn with_unknown_outcome(mut response: Response<Body>) -> Response<Body> {
     response.headers_mut().insert(headers::OUTCOME, HeaderValue::from_static("unknown"));
     response
 }
 
-/// Describes why a request was not run.
-pub fn describe(reason: RefuseReason) -> &'static str {
+/// Describes the reason why a request was not run.
+pub fn describe_reason(reason: RefuseReason) -> &'static str {
     match reason {
         RefuseReason::Overloaded => "overloaded",
         RefuseReason::Leaving => "the upstream is leaving",
--- a/crates/entry/tests/history.rs
+++ b/crates/entry/tests/history.rs
@@ -1,4 +1,5 @@
-//! Requests with keys through two entries and whole agents under faults, judged by their history.
+//! Requests with idempotency keys through two entries and real agents under faults. The recorded
+//! history of the requests is checked for violations.
 
 #[path = "support/history.rs"]
 mod history;
@@ -13,7 +14,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use history::{check, End, Fact, Violation};
+use history::{check, End, HistoryEvent, Violation};
 use http::{Method, Request, Response};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -30,9 +31,9 @@
 const CLIENTS: u64 = 8;
 const LIMIT: Duration = Duration::from_secs(5);
 
-type Log = Arc<Mutex<Vec<Fact>>>;
+type Log = Arc<Mutex<Vec<HistoryEvent>>>;
 
-/// An upstream that records what it runs.
+/// An upstream that records its executions.
 struct Upstream {
     log: Log,
     runs: AtomicU64,
@@ -43,7 +44,7 @@
         let key = request.headers()["idempotency-key"].to_str().expect("text").to_owned();
         let _ = request.into_body().collect().await;
         let text = format!("{key} run {}", self.runs.fetch_add(1, Ordering::Relaxed));
-        self.log.lock().push(Fact::Executed { key, text: text.clone() });
+        self.log.lock().push(HistoryEvent::Executed { key, text: text.clone() });
         runtime::sleep(Duration::from_millis(fastrand::u64(1..40))).await;
         Response::new(Body::full(text))
     }
@@ -62,21 +63,24 @@
     address
 }
 
+/// State shared by the concurrent clients.
 struct Clients {
     log: Log,
     numbers: AtomicU64,
     keys: AtomicU64,
-    /// Addresses of the entries; a restarted one has another.
+    /// Addresses of the two entries. A restarted entry has a new address.
     entries: Mutex<[SocketAddr; 2]>,
-    /// Entry and body of each response that is not an answer, for failures of the test.
+    /// Entry, timeout and error of each request that was not answered, by request number. Printed
+    /// when the test fails.
     details: Mutex<HashMap<u64, String>>,
 }
 
 impl Clients {
+    /// Sends one request and records its start and end in the history.
     async fn send(&self, client: &HttpClient, entry: usize, key: &str, timeout: u64) -> End {
         let request = self.numbers.fetch_add(1, Ordering::Relaxed);
         let address = self.entries.lock()[entry];
-        self.log.lock().push(Fact::Invoked { request, key: key.into() });
+        self.log.lock().push(HistoryEvent::Invoked { request, key: key.into() });
         let sent = Request::builder()
             .method(Method::POST)
             .uri("/s/open/bid")
@@ -100,11 +104,12 @@
             Ok(response) if support::outcome(&response) == "not-run" => End::NotRun,
             Ok(_) | Err(_) => End::Unknown,
         };
-        self.log.lock().push(Fact::Ended { request, end: end.clone() });
+        self.log.lock().push(HistoryEvent::Ended { request, end: end.clone() });
         end
     }
 
-    /// Sends keys, some shared with other clients, and retries each through both entries.
+    /// Sends requests until `stop` fires. Some keys are shared with other clients, and each key is
+    /// repeated through random entries.
     async fn run(self: Arc<Self>, stop: Shutdown) {
         let client = HttpClient::default();
         loop {
@@ -126,9 +131,10 @@
     runtime::sleep(Duration::from_secs(seconds)).await;
 }
 
-/// Guards against answers of other requests, keys that run twice, and keys that have run or still
-/// run although the caller was told that they were not, while agents and an entry restart and the
-/// store is down and loses answers. Also against buckets whose new keys stay `unknown` afterwards.
+/// Guards against answers of other requests, keys that run twice, and keys that have run or run
+/// later although their caller got `not-run`. Meanwhile agents and an entry restart, and the store
+/// is down or loses responses. Also guards against buckets whose new keys stay `unknown`
+/// afterwards.
 #[test]
 fn histories_of_keys_are_sound_under_faults() {
     run(async {
@@ -175,12 +181,13 @@
             map.generation > 1 && !map.is_moving()
         })
         .await;
-        // Until here, nobody may have fetched the list of the entry that is killed next.
+        // Waits, since no other entry may have fetched the key list of the entry killed next.
         pause(1).await;
         drop(two);
         let two = Entry::start("entry-2", store.address(), vec![one.internal]).await;
         clients.entries.lock()[1] = two.http;
-        // The moved buckets are open for new keys, though a witness of the move is gone.
+        // The moved buckets have to be open for new keys, although a witness of the move has
+        // failed.
         for (entry, number) in (0..2).flat_map(|entry| (0..100).map(move |n| (entry, n))) {
             let key = format!("new-{entry}-{number}");
             until("a new key is answered", || async {
@@ -203,9 +210,9 @@
         }
         let history = log.lock().clone();
         let count = |wanted: fn(&End) -> bool| {
-            let ends = history.iter().filter_map(|fact| match fact {
-                Fact::Ended { end, .. } => Some(end),
-                Fact::Invoked { .. } | Fact::Executed { .. } => None,
+            let ends = history.iter().filter_map(|event| match event {
+                HistoryEvent::Ended { end, .. } => Some(end),
+                HistoryEvent::Invoked { .. } | HistoryEvent::Executed { .. } => None,
             });
             ends.filter(|end| wanted(end)).count()
         };
@@ -215,18 +222,20 @@
             count(|end| *end == End::Unknown),
         );
         println!("answered, not run, unknown: {counts:?}");
-        if let Err((violation, place)) = check(&history) {
-            let key = history::key_of(&history, place);
-            for (place, fact) in history.iter().enumerate() {
-                let detail = match fact {
-                    Fact::Ended { request, .. } => clients.details.lock().get(request).cloned(),
-                    Fact::Invoked { .. } | Fact::Executed { .. } => None,
+        if let Err((violation, index)) = check(&history) {
+            let key = history::key_of(&history, index);
+            for (index, event) in history.iter().enumerate() {
+                let detail = match event {
+                    HistoryEvent::Ended { request, .. } => {
+                        clients.details.lock().get(request).cloned()
+                    }
+                    HistoryEvent::Invoked { .. } | HistoryEvent::Executed { .. } => None,
                 };
-                if history::key_of(&history, place) == key {
-                    println!("{place} {fact:?} {}", detail.unwrap_or_default());
+                if history::key_of(&history, index) == key {
+                    println!("{index} {event:?} {}", detail.unwrap_or_default());
                 }
             }
-            panic!("{violation:?} at {place}: {:?}", history[place]);
+            panic!("{violation:?} at {index}: {:?}", history[index]);
         }
         assert!(counts.0 > 100 && counts.1 > 0 && counts.2 > 0, "too little happened: {counts:?}");
         drop(agents);
@@ -235,15 +244,15 @@
     });
 }
 
-/// Guards against a checker that accepts anything.
+/// Guards against a history check that accepts every history.
 #[test]
 fn bad_histories_are_rejected() {
-    let invoked = |request, key: &str| Fact::Invoked { request, key: key.into() };
+    let invoked = |request, key: &str| HistoryEvent::Invoked { request, key: key.into() };
     let executed =
-        |key: &str, text: &str| Fact::Executed { key: key.into(), text: text.to_owned() };
+        |key: &str, text: &str| HistoryEvent::Executed { key: key.into(), text: text.to_owned() };
     let answered =
-        |request, text: &str| Fact::Ended { request, end: End::Answered(text.to_owned()) };
-    let not_run = |request| Fact::Ended { request, end: End::NotRun };
+        |request, text: &str| HistoryEvent::Ended { request, end: End::Answered(text.to_owned()) };
+    let not_run = |request| HistoryEvent::Ended { request, end: End::NotRun };
     let good = vec![
         invoked(1, "a"),
         not_run(1),
@@ -283,7 +292,7 @@
         ),
     ];
     for (violation, history) in bad {
-        let place = history.len() - 1;
-        assert_eq!(check(&history), Err((violation, place)), "{history:?}");
+        let index = history.len() - 1;
+        assert_eq!(check(&history), Err((violation, index)), "{history:?}");
     }
 }
--- a/crates/entry/tests/relay.rs
+++ b/crates/entry/tests/relay.rs
@@ -1,4 +1,4 @@
-//! Announcements in a system with more entries than an agent has home entries.
+//! Relay of announcements when there are more entries than an agent has home entries.
 
 #[path = "support/common.rs"]
 mod support;
@@ -16,7 +16,7 @@
 
 const ENTRIES: usize = HOME_ENTRIES + 2;
 const AGENT: &str = "vm-1";
-/// Time within which a leaving upstream is known at every entry.
+/// Time within which every entry has to know that an upstream is leaving.
 const LEAVING_LIMIT: Duration = Duration::from_secs(4);
 
 /// Announces to the home entries only, as an agent does.
@@ -28,20 +28,22 @@
     }
 }
 
-async fn states(entries: &[Entry]) -> Vec<String> {
-    let mut states = Vec::new();
+/// Returns the state of the agent as shown by each entry, empty if unknown there.
+async fn agent_states(entries: &[Entry]) -> Vec<String> {
+    let mut agent_states = Vec::new();
     for entry in entries {
         let response = entry.operator(Method::GET, "/v1/status", "").await;
         let status: serde_json::Value = serde_json::from_slice(response.body()).expect("JSON");
         let list = status["upstreams"].as_array().expect("a list").clone();
         let known = list.iter().find(|upstream| upstream["agent"] == AGENT);
-        states.push(known.map_or(String::new(), |u| u["state"].as_str().unwrap_or("").to_owned()));
+        agent_states
+            .push(known.map_or(String::new(), |u| u["state"].as_str().unwrap_or("").to_owned()));
     }
-    states
+    agent_states
 }
 
-/// Guards against entries that never hear of an agent whose home entries they are not, and against
-/// new work for it there after it has announced that it leaves.
+/// Guards against entries that do not learn of an agent because they are not its home entries, and
+/// against requests that they still dispatch to the agent after it has announced that it leaves.
 #[test]
 fn every_entry_hears_of_an_agent_and_of_its_leaving() {
     run(async {
@@ -73,7 +75,7 @@
             let entries = &entries;
             async move {
                 announce(peers, &message, addresses).await;
-                states(entries).await.iter().all(|state| state == "ready")
+                agent_states(entries).await.iter().all(|state| state == "ready")
             }
         })
         .await;
@@ -82,7 +84,7 @@
         let left = runtime::now();
         announce(&peers, &message, &addresses).await;
         until("each entry knows that the agent leaves", || async {
-            states(&entries).await.iter().all(|state| state != "ready")
+            agent_states(&entries).await.iter().all(|state| state != "ready")
         })
         .await;
         let elapsed = runtime::now() - left;
--- a/crates/entry/tests/support/agent.rs
+++ b/crates/entry/tests/support/agent.rs
@@ -1,4 +1,4 @@
-//! An agent whose answer is chosen by the request path.
+//! A simulated agent whose answer depends on the request path.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -18,18 +18,19 @@
 use peridotfold_wire::server::{Handler, MessageServer, Stream};
 use peridotfold_wire::shutdown::{self, Shutdown, Trigger};
 
+/// Time between two announcements.
 const PERIOD: Duration = Duration::from_millis(200);
 
-/// What an agent has received.
+/// The messages that a simulated agent has received.
 #[derive(Default)]
 pub struct Log {
     pub heads: Vec<RequestHead>,
     pub cancels: u32,
-    /// Requests whose cancellation was answered with the proof that they were not started.
+    /// Requests whose cancellation was answered as `NotStarted`.
     refused: BTreeSet<RequestId>,
 }
 
-/// A running agent. It stops to announce and to accept when dropped.
+/// A running simulated agent. Stops announcing itself and accepting connections when dropped.
 pub struct Agent {
     pub log: Arc<Mutex<Log>>,
     pub address: SocketAddr,
@@ -37,22 +38,26 @@
     _stop: Trigger,
 }
 
-struct Answers {
+/// Handles the messages of entries.
+struct AgentHandler {
     log: Arc<Mutex<Log>>,
     /// Refuses every request.
     refusing: bool,
-    /// Proves that cancelled requests were not started.
+    /// Answers cancellations as `NotStarted`, which proves that the request was not run.
     proving: bool,
 }
 
-/// How an agent behaves.
+/// Behaviour of a simulated agent.
 #[derive(Clone, Copy, Default)]
 pub struct Behaviour {
+    /// Refuses every request as overloaded.
     pub refusing: bool,
+    /// Answers cancellations as `NotStarted`.
     pub proving: bool,
 }
 
 impl Agent {
+    /// Starts an agent that announces itself to `entries`.
     pub async fn start(name: &str, entries: &[SocketAddr], behaviour: Behaviour) -> Agent {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let server = MessageServer::bind(any).await.expect("the agent listens");
@@ -60,7 +65,7 @@
         let log = Arc::new(Mutex::new(Log::default()));
         let (trigger, stop) = shutdown::channel();
         let Behaviour { refusing, proving } = behaviour;
-        let answers = Arc::new(Answers { log: log.clone(), refusing, proving });
+        let answers = Arc::new(AgentHandler { log: log.clone(), refusing, proving });
         runtime::spawn(server.serve(answers, stop.clone())).detach();
         let incarnation = fastrand::u64(1..);
         for entry in entries {
@@ -70,6 +75,7 @@
         Agent { log, address, incarnation, _stop: trigger }
     }
 
+    /// Returns the number of requests received.
     pub fn received(&self) -> usize {
         self.log.lock().heads.len()
     }
@@ -111,7 +117,7 @@
     }
 }
 
-impl Answers {
+impl AgentHandler {
     fn cancel(&self, cancel: Option<Cancel>) -> CancelReply {
         let mut log = self.log.lock();
         log.cancels += 1;
@@ -125,7 +131,7 @@
     }
 }
 
-impl Handler for Answers {
+impl Handler for AgentHandler {
     async fn handle(&self, stream: Stream) -> Result<(), WireError> {
         let Stream { kind, mut receiver, responder } = stream;
         let head = match kind.as_str() {
@@ -157,23 +163,23 @@
             "/cut" => {
                 sender.send(&answer(200)).await?;
                 sender.send(&BodyFrame::Data(Bytes::from_static(b"part"))).await?;
-                // Ends the stream without the frame that ends the body.
+                // Finishes the stream without the end frame of the body.
                 return sender.finish();
             }
             "/slow" => {
                 runtime::sleep(Duration::from_millis(800)).await;
-                return whole(&mut sender).await;
+                return answer_whole(&mut sender).await;
             }
-            _ => return whole(&mut sender).await,
+            _ => return answer_whole(&mut sender).await,
         }
-        // Holds the stream open without an answer.
+        // Keeps the stream open without an answer.
         let _ = receiver.next::<BodyFrame>().await;
         runtime::sleep(Duration::from_secs(20)).await;
         Ok(())
     }
 }
 
-async fn whole(sender: &mut FrameSender) -> Result<(), WireError> {
+async fn answer_whole(sender: &mut FrameSender) -> Result<(), WireError> {
     sender.send(&answer(200)).await?;
     sender.send(&BodyFrame::Data(Bytes::from_static(b"answer"))).await?;
     sender.send(&BodyFrame::End).await?;
--- a/crates/entry/tests/support/history.rs
+++ b/crates/entry/tests/support/history.rs
@@ -1,78 +1,75 @@
-//! History of requests with keys, and the check of a whole history.
+//! History of requests with idempotency keys, and its check for violations of at-most-once
+//! execution.
 
 use std::collections::HashMap;
 
-/// How a request ended for its caller.
+/// Outcome of a request as seen by its caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum End {
+    /// Answered with this body.
     Answered(String),
     NotRun,
-    /// Unknown, or no response.
+    /// The outcome is unknown, or there was no response.
     Unknown,
 }
 
-/// One fact, in the order of a history.
+/// One event of a history.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Fact {
-    Invoked {
-        request: u64,
-        key: String,
-    },
-    /// An upstream ran a request and answers `text`.
-    Executed {
-        key: String,
-        text: String,
-    },
-    Ended {
-        request: u64,
-        end: End,
-    },
+pub enum HistoryEvent {
+    /// A client sent a request.
+    Invoked { request: u64, key: String },
+    /// An upstream ran a request with the key and answers `text`.
+    Executed { key: String, text: String },
+    /// A request ended for its client.
+    Ended { request: u64, end: End },
 }
 
+/// A violation of at-most-once execution.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Violation {
-    /// An answer is not that of the request's key.
+    /// A request got an answer that its key did not produce.
     WrongAnswer,
     ExecutedTwice,
-    /// Executed after each request with the key was answered as not run.
+    /// Executed although all requests with the key had ended as not run.
     ExecutedAfterNotRun,
-    /// Answered as not run, although the key had run before the request came.
+    /// Ended as not run, although the key had run before the request was sent.
     NotRunAfterExecution,
 }
 
+/// State of one key during the check.
 #[derive(Default)]
 struct Key {
     executed: Option<String>,
-    /// Requests that are not answered as not run.
-    possible: u32,
+    /// Number of requests with the key that have not ended as not run.
+    maybe_run: u32,
 }
 
 /// Checks a history.
 ///
 /// # Errors
 ///
-/// Returns the first violation with its place.
-pub fn check(history: &[Fact]) -> Result<(), (Violation, usize)> {
+/// Returns the first violation and the index of its event.
+pub fn check(history: &[HistoryEvent]) -> Result<(), (Violation, usize)> {
     let mut keys: HashMap<&str, Key> = HashMap::new();
-    // Key of each open request, and whether the key had run when it came.
+    // Key of each open request, and whether the key had run before the request was sent.
     let mut requests: HashMap<u64, (&str, bool)> = HashMap::new();
-    for (place, fact) in history.iter().enumerate() {
-        let violation = match fact {
-            Fact::Invoked { request, key } => {
+    for (index, event) in history.iter().enumerate() {
+        let violation = match event {
+            HistoryEvent::Invoked { request, key } => {
                 let state = keys.entry(key).or_default();
-                state.possible += 1;
+                state.maybe_run += 1;
                 requests.insert(*request, (key, state.executed.is_some()));
                 None
             }
-            Fact::Executed { key, text } => {
+            HistoryEvent::Executed { key, text } => {
                 let state = keys.entry(key).or_default();
                 match state.executed.replace(text.clone()) {
                     Some(_) => Some(Violation::ExecutedTwice),
-                    None if state.possible == 0 => Some(Violation::ExecutedAfterNotRun),
+                    None if state.maybe_run == 0 => Some(Violation::ExecutedAfterNotRun),
                     None => None,
                 }
             }
-            Fact::Ended { request, end } => {
+            HistoryEvent::Ended { request, end } => {
                 let (key, had_run) = requests.remove(request).expect("the request was invoked");
                 let state = keys.entry(key).or_default();
                 match end {
@@ -81,7 +78,7 @@
                     }
                     End::NotRun if had_run => Some(Violation::NotRunAfterExecution),
                     End::NotRun => {
-                        state.possible -= 1;
+                        state.maybe_run -= 1;
                         None
                     }
                     End::Answered(_) | End::Unknown => None,
@@ -89,19 +86,19 @@
             }
         };
         if let Some(violation) = violation {
-            return Err((violation, place));
+            return Err((violation, index));
         }
     }
     Ok(())
 }
 
-/// Returns the key that a fact is about.
-pub fn key_of(history: &[Fact], place: usize) -> &str {
-    match &history[place] {
-        Fact::Invoked { key, .. } | Fact::Executed { key, .. } => key,
-        Fact::Ended { request: ended, .. } => {
-            let keys = history.iter().filter_map(|fact| match fact {
-                Fact::Invoked { request, key } if request == ended => Some(key.as_str()),
+/// Returns the key of the event at an index.
+pub fn key_of(history: &[HistoryEvent], index: usize) -> &str {
+    match &history[index] {
+        HistoryEvent::Invoked { key, .. } | HistoryEvent::Executed { key, .. } => key,
+        HistoryEvent::Ended { request: ended, .. } => {
+            let keys = history.iter().filter_map(|event| match event {
+                HistoryEvent::Invoked { request, key } if request == ended => Some(key.as_str()),
                 _ => None,
             });
             keys.fold("", |_, key| key)
