--- a/crates/entry/src/cells/owned.rs
+++ b/crates/entry/src/cells/owned.rs
@@ -13,7 +13,7 @@
 use peridotfold_core::id::{AgentId, CellId, Epoch};
 use peridotfold_core::message::announce::CellOwner;
 use peridotfold_core::message::report::{AttemptId, Orders, Report};
-use peridotfold_store::{Journal, JournalError, PutOutcome, Store, VALUE_LIMIT};
+use peridotfold_store::{Journal, JournalError, PutOutcome, Store, MAX_VALUE_BYTES};
 use peridotfold_wire::runtime;
 
 use crate::cells::record::{owner_key, OwnerRecord, Replayed};
@@ -222,7 +222,7 @@
                 true
             }
             Err(error @ (JournalError::Unavailable(_) | JournalError::TooLarge)) => {
-                let limit = VALUE_LIMIT;
+                let limit = MAX_VALUE_BYTES;
                 tracing::warn!(event = "commit_failed", cell = self.id, limit, %error);
                 false
             }
--- a/crates/store/src/http.rs
+++ b/crates/store/src/http.rs
@@ -9,7 +9,7 @@
 use peridotfold_wire::http_client::HttpClient;
 use serde::Deserialize;
 
-use crate::{PutOutcome, Store, StoreError, Versioned, VALUE_LIMIT};
+use crate::{PutOutcome, Store, StoreError, Versioned, MAX_VALUE_BYTES};
 
 const VERSION_HEADER: &str = "x-version";
 
@@ -22,12 +22,12 @@
 }
 
 #[derive(Deserialize)]
-struct Written {
+struct PutResponse {
     version: u64,
 }
 
 #[derive(Deserialize)]
-struct Listed {
+struct ListEntry {
     key: String,
     version: u64,
     length: usize,
@@ -47,7 +47,7 @@
         self.error(Step::Decode, detail)
     }
 
-    fn unexpected(&self, response: &Response<Bytes>) -> StoreError {
+    fn status_error(&self, response: &Response<Bytes>) -> StoreError {
         let text = String::from_utf8_lossy(&response.body()[..response.body().len().min(200)]);
         self.error(Step::Receive, format!("status {}: {text}", response.status()))
     }
@@ -58,13 +58,13 @@
         method: Method,
         path: String,
         body: Bytes,
-        limit: Duration,
+        call_timeout: Duration,
     ) -> Result<Response<Bytes>, StoreError> {
-        let result = match is_plain(&path) {
-            true => self.client.simple(self.address, method, &path, body, limit).await,
+        let result = match is_unescaped(&path) {
+            true => self.client.simple(self.address, method, &path, body, call_timeout).await,
             // Such a key would need escapes, and the project's names need none.
             false => {
-                count(kind, "invalid");
+                count_call(kind, "invalid");
                 return Err(self.error(Step::Connect, format!("key with other characters: {path}")));
             }
         };
@@ -75,11 +75,11 @@
             Err(error) if error.step == Step::Timeout => "timeout",
             Err(_) => "failed",
         };
-        count(kind, label);
+        count_call(kind, label);
         Ok(result?)
     }
 
-    fn versioned(&self, response: Response<Bytes>) -> Result<Versioned, StoreError> {
+    fn parse_versioned(&self, response: Response<Bytes>) -> Result<Versioned, StoreError> {
         let version = response
             .headers()
             .get(VERSION_HEADER)
@@ -90,15 +90,15 @@
     }
 }
 
-fn count(kind: &'static str, result: &'static str) {
+fn count_call(kind: &'static str, result: &'static str) {
     metrics::counter!("store_calls_total", "kind" => kind, "result" => result).increment(1);
 }
 
-fn is_plain(path: &str) -> bool {
+fn is_unescaped(path: &str) -> bool {
     path.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"/-_.~:@?=&".contains(&byte))
 }
 
-fn is_key(key: &str) -> bool {
+fn is_valid_key(key: &str) -> bool {
     !key.is_empty() && !key.contains(['?', '&', '='])
 }
 
@@ -107,16 +107,16 @@
         let path = format!("/kv/{key}");
         let response = self.call("get", Method::GET, path, Bytes::new(), self.timeout).await?;
         match response.status() {
-            StatusCode::OK => self.versioned(response).map(Some),
+            StatusCode::OK => self.parse_versioned(response).map(Some),
             StatusCode::NOT_FOUND => Ok(None),
-            _ => Err(self.unexpected(&response)),
+            _ => Err(self.status_error(&response)),
         }
     }
 
     async fn put(&self, key: &str, expect: u64, value: Bytes) -> Result<PutOutcome, StoreError> {
         match value.len() {
-            _ if !is_key(key) => return Err(self.error(Step::Connect, "malformed key")),
-            length if length > VALUE_LIMIT => {
+            _ if !is_valid_key(key) => return Err(self.error(Step::Connect, "malformed key")),
+            length if length > MAX_VALUE_BYTES => {
                 return Err(self.error(Step::Connect, format!("value of {length} bytes")))
             }
             _ => {}
@@ -124,13 +124,13 @@
         let path = format!("/kv/{key}?expect={expect}");
         let response = self.call("put", Method::PUT, path, value, self.timeout).await?;
         let version = || {
-            let body: Result<Written, _> = serde_json::from_slice(response.body());
+            let body: Result<PutResponse, _> = serde_json::from_slice(response.body());
             body.map(|body| body.version).map_err(|error| self.decode_error(error))
         };
         match response.status() {
             StatusCode::OK => Ok(PutOutcome::Written(version()?)),
             StatusCode::CONFLICT => Ok(PutOutcome::Conflict(version()?)),
-            _ => Err(self.unexpected(&response)),
+            _ => Err(self.status_error(&response)),
         }
     }
 
@@ -143,7 +143,7 @@
             StatusCode::OK => serde_json::from_slice::<serde_json::Value>(response.body())
                 .map(|_| ())
                 .map_err(|error| self.decode_error(error)),
-            _ => Err(self.unexpected(&response)),
+            _ => Err(self.status_error(&response)),
         }
     }
 
@@ -151,16 +151,16 @@
         let path = format!("/list/{prefix}");
         let response = self.call("list", Method::GET, path, Bytes::new(), self.timeout).await?;
         if response.status() != StatusCode::OK {
-            return Err(self.unexpected(&response));
+            return Err(self.status_error(&response));
         }
         let mut values = response.into_body();
         let line = values.iter().position(|byte| *byte == b'\n');
         let line = line.ok_or_else(|| self.decode_error("the index is missing"))?;
         let index = values.split_to(line + 1);
-        let index: Vec<Listed> =
+        let index: Vec<ListEntry> =
             serde_json::from_slice(&index).map_err(|error| self.decode_error(error))?;
         let mut found = Vec::with_capacity(index.len());
-        for Listed { key, version, length } in index {
+        for ListEntry { key, version, length } in index {
             if values.len() < length {
                 return Err(self.decode_error("a value is cut"));
             }
@@ -176,12 +176,12 @@
         wait: Duration,
     ) -> Result<Option<Versioned>, StoreError> {
         let path = format!("/watch/{key}?after={after}&wait_ms={}", wait.as_millis());
-        let limit = self.timeout + wait;
-        let response = self.call("watch", Method::GET, path, Bytes::new(), limit).await?;
+        let call_timeout = self.timeout + wait;
+        let response = self.call("watch", Method::GET, path, Bytes::new(), call_timeout).await?;
         match response.status() {
-            StatusCode::OK => self.versioned(response).map(Some),
+            StatusCode::OK => self.parse_versioned(response).map(Some),
             StatusCode::NO_CONTENT => Ok(None),
-            _ => Err(self.unexpected(&response)),
+            _ => Err(self.status_error(&response)),
         }
     }
 }
--- a/crates/store/src/journal.rs
+++ b/crates/store/src/journal.rs
@@ -12,15 +12,15 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-use self::format::{decode, decode_state, encode, Batch, Log, Snap, Tag};
-use crate::{PutOutcome, Store, StoreError, VALUE_LIMIT};
+use self::format::{decode, decode_state, encode, Batch, BatchId, Log, Snapshot};
+use crate::{PutOutcome, Store, StoreError, MAX_VALUE_BYTES};
 
 /// Size at which the log is folded into a snapshot. It bounds the bytes that each append rewrites.
-pub const LOG_LIMIT: usize = 32 * 1024;
+pub const MAX_LOG_BYTES: usize = 32 * 1024;
 /// Writes of one append before its outcome is left unknown.
-const TRIES: usize = 3;
+const MAX_ATTEMPTS: usize = 3;
 /// Batches whose writers a snapshot remembers, for resolving lost responses after a rotation.
-const TAGS_KEPT: usize = 256;
+const MAX_BATCH_IDS: usize = 256;
 
 /// A state that is built from records.
 pub trait Replay: Default + Clone + Serialize + DeserializeOwned + Send {
@@ -66,7 +66,7 @@
 
 /// An append whose outcome is not known yet.
 #[derive(Debug)]
-struct Pending<T> {
+struct PendingAppend<T> {
     /// Sequence of its first record.
     first: u64,
     number: u64,
@@ -76,7 +76,7 @@
     log: Log,
     value: Bytes,
     /// Whether a write may have reached the store.
-    is_sent: bool,
+    was_attempted: bool,
 }
 
 /// A journal as one process has replayed it.
@@ -93,8 +93,8 @@
     log_version: u64,
     log: Log,
     /// Tags of the batches before the log.
-    recent: Vec<Tag>,
-    pending: Option<Pending<R::Record>>,
+    recent_batches: Vec<BatchId>,
+    pending: Option<PendingAppend<R::Record>>,
 }
 
 impl<S: Store, R: Replay> Journal<S, R> {
@@ -116,7 +116,7 @@
             sequence: 0,
             log_version: 0,
             log: Log::default(),
-            recent: Vec::new(),
+            recent_batches: Vec::new(),
             pending: None,
         };
         journal.replay_all().await?;
@@ -172,10 +172,10 @@
         }
         match &self.pending {
             Some(pending) if encoded.starts_with(&pending.encoded) => {
-                let done = pending.encoded.len();
-                self.send().await?;
-                records.drain(..done);
-                encoded.drain(..done);
+                let committed = pending.encoded.len();
+                self.write_pending().await?;
+                records.drain(..committed);
+                encoded.drain(..committed);
             }
             Some(_) => {
                 self.resolve().await?;
@@ -184,11 +184,11 @@
         }
         match records.is_empty() {
             true => Ok(()),
-            false => self.write(records, encoded).await,
+            false => self.append_new(records, encoded).await,
         }
     }
 
-    async fn write(
+    async fn append_new(
         &mut self,
         records: Vec<R::Record>,
         encoded: Vec<Bytes>,
@@ -198,65 +198,72 @@
         let mut log = self.log.clone();
         log.batches.push(batch);
         let mut value = encode(&self.log_key, &log)?;
-        if value.len() > LOG_LIMIT && !self.log.batches.is_empty() {
+        if value.len() > MAX_LOG_BYTES && !self.log.batches.is_empty() {
             log.batches.drain(..log.batches.len() - 1);
             log.first = self.sequence + 1;
             value = encode(&self.log_key, &log)?;
-            if value.len() > VALUE_LIMIT {
+            if value.len() > MAX_VALUE_BYTES {
                 return Err(JournalError::TooLarge);
             }
             self.rotate().await?;
         }
-        if value.len() > VALUE_LIMIT {
+        if value.len() > MAX_VALUE_BYTES {
             return Err(JournalError::TooLarge);
         }
         self.number = number;
         let first = self.sequence + 1;
-        self.pending =
-            Some(Pending { first, number, records, encoded, log, value, is_sent: false });
-        self.send().await
+        self.pending = Some(PendingAppend {
+            first,
+            number,
+            records,
+            encoded,
+            log,
+            value,
+            was_attempted: false,
+        });
+        self.write_pending().await
     }
 
     async fn rotate(&mut self) -> Result<(), JournalError> {
-        let key = archive::snap_key(&self.name);
-        let snap = Snap {
+        let key = archive::snapshot_key(&self.name);
+        let snapshot = Snapshot {
             sequence: self.sequence,
             state: encode(&key, &self.state)?,
-            recent: last_tags(&self.recent, self.log.tags()),
+            recent_batches: latest_ids(&self.recent_batches, self.log.batch_ids()),
             segments: Vec::new(),
         };
-        archive::rotate(&self.store, &self.name, &self.log, &snap, self.is_archived).await
+        archive::rotate(&self.store, &self.name, &self.log, &snapshot, self.is_archived).await
     }
 
     /// Writes the pending append until its outcome is known or the tries are used up.
-    async fn send(&mut self) -> Result<(), JournalError> {
-        let mut tries = 0;
+    async fn write_pending(&mut self) -> Result<(), JournalError> {
+        let mut attempts = 0;
         loop {
             let Some(pending) = &mut self.pending else { return Ok(()) };
-            let was_sent = std::mem::replace(&mut pending.is_sent, true);
+            let already_attempted = std::mem::replace(&mut pending.was_attempted, true);
             let value = pending.value.clone();
             match self.store.put(&self.log_key, self.log_version, value).await {
                 Ok(PutOutcome::Written(version)) => {
-                    self.commit(version);
+                    self.apply_pending(version);
                     return Ok(());
                 }
-                Ok(PutOutcome::Conflict(_)) if !was_sent => {
+                Ok(PutOutcome::Conflict(_)) if !already_attempted => {
                     self.pending = None;
                     return Err(JournalError::Fenced);
                 }
-                Ok(PutOutcome::Conflict(_)) => return self.settle().await,
-                Err(error) if error.is_not_sent() && !was_sent => {
+                Ok(PutOutcome::Conflict(_)) => return self.check_outcome().await,
+                Err(error) if error.is_not_sent() && !already_attempted => {
                     self.pending = None;
                     return Err(JournalError::Unavailable(error));
                 }
                 Err(error) => {
-                    tries += 1;
+                    attempts += 1;
                     if self.is_log_changed().await? {
-                        return self.settle().await;
+                        return self.check_outcome().await;
                     }
                     // The write may still be under way. The same write again is harmless: at most
                     // one of them finds the expected version.
-                    if tries == TRIES {
+                    if attempts == MAX_ATTEMPTS {
                         return Err(JournalError::Unavailable(error));
                     }
                 }
@@ -269,7 +276,7 @@
         Ok(found.map_or(0, |found| found.version) != self.log_version)
     }
 
-    fn commit(&mut self, version: u64) {
+    fn apply_pending(&mut self, version: u64) {
         let Some(pending) = self.pending.take() else { return };
         for record in &pending.records {
             self.state.apply(record);
@@ -280,19 +287,21 @@
     }
 
     fn replace_log(&mut self, log: Log) {
-        let passed: Vec<Tag> = self.log.tags().filter(|tag| tag.first < log.first).collect();
-        self.recent = last_tags(&self.recent, passed);
+        let removed: Vec<BatchId> =
+            self.log.batch_ids().filter(|batch_id| batch_id.first < log.first).collect();
+        self.recent_batches = latest_ids(&self.recent_batches, removed);
         self.log = log;
     }
 
     /// Finds out whether the pending append was committed, after the log has changed.
-    async fn settle(&mut self) -> Result<(), JournalError> {
+    async fn check_outcome(&mut self) -> Result<(), JournalError> {
         self.replay_new().await?;
         let Some(pending) = self.pending.take() else { return Ok(()) };
-        let tag = Tag { first: pending.first, writer: self.writer, number: pending.number };
-        let held = self.log.tags().chain(self.recent.iter().copied());
-        match held.into_iter().find(|held| held.first == pending.first) {
-            Some(held) if held == tag => Ok(()),
+        let batch_id =
+            BatchId { first: pending.first, writer: self.writer, number: pending.number };
+        let stored = self.log.batch_ids().chain(self.recent_batches.iter().copied());
+        match stored.into_iter().find(|stored| stored.first == pending.first) {
+            Some(stored) if stored == batch_id => Ok(()),
             Some(_) => Err(JournalError::Fenced),
             // The log was rewritten without further records, so the pending write cannot succeed.
             None if self.sequence < pending.first => Err(JournalError::Fenced),
@@ -308,20 +317,20 @@
     /// On [`JournalError::Unavailable`] the outcome stays unknown.
     pub async fn resolve(&mut self) -> Result<bool, JournalError> {
         let mut failure = JournalError::Fenced;
-        for _ in 0..TRIES {
+        for _ in 0..MAX_ATTEMPTS {
             if self.pending.is_none() {
                 return Ok(false);
             }
             if self.is_log_changed().await? {
-                return match self.settle().await {
+                return match self.check_outcome().await {
                     Ok(()) => Ok(true),
                     Err(JournalError::Fenced) => Ok(false),
                     Err(error) => Err(error),
                 };
             }
             // The write may still be under way; a new version makes it fail.
-            let same = encode(&self.log_key, &self.log)?;
-            match self.store.put(&self.log_key, self.log_version, same).await {
+            let unchanged = encode(&self.log_key, &self.log)?;
+            match self.store.put(&self.log_key, self.log_version, unchanged).await {
                 Ok(PutOutcome::Written(version)) => {
                     self.log_version = version;
                     self.pending = None;
@@ -356,19 +365,19 @@
             return self.replay_all().await;
         }
         let records = self.decode_after(&log, self.sequence)?;
-        self.install(found.version, log, records);
+        self.apply_log(found.version, log, records);
         Ok(())
     }
 
     async fn replay_all(&mut self) -> Result<(), JournalError> {
-        let (version, log, snap) = archive::read(&self.store, &self.name).await?;
-        let state: R = decode_state(&archive::snap_key(&self.name), &snap.state)?;
-        let records = self.decode_after(&log, snap.sequence)?;
+        let (version, log, snapshot) = archive::read(&self.store, &self.name).await?;
+        let state: R = decode_state(&archive::snapshot_key(&self.name), &snapshot.state)?;
+        let records = self.decode_after(&log, snapshot.sequence)?;
         self.state = state;
-        self.sequence = snap.sequence;
+        self.sequence = snapshot.sequence;
         self.log = Log::default();
-        self.recent = snap.recent;
-        self.install(version, log, records);
+        self.recent_batches = snapshot.recent_batches;
+        self.apply_log(version, log, records);
         Ok(())
     }
 
@@ -379,7 +388,7 @@
             .collect()
     }
 
-    fn install(&mut self, version: u64, log: Log, records: Vec<R::Record>) {
+    fn apply_log(&mut self, version: u64, log: Log, records: Vec<R::Record>) {
         for record in &records {
             self.state.apply(record);
         }
@@ -389,10 +398,10 @@
     }
 }
 
-fn last_tags(older: &[Tag], newer: impl IntoIterator<Item = Tag>) -> Vec<Tag> {
-    let mut tags = older.to_vec();
-    let after = tags.last().map_or(0, |tag| tag.first);
-    tags.extend(newer.into_iter().filter(|tag| tag.first > after));
-    tags.drain(..tags.len().saturating_sub(TAGS_KEPT));
-    tags
+fn latest_ids(older: &[BatchId], newer: impl IntoIterator<Item = BatchId>) -> Vec<BatchId> {
+    let mut batch_ids = older.to_vec();
+    let after = batch_ids.last().map_or(0, |batch_id| batch_id.first);
+    batch_ids.extend(newer.into_iter().filter(|batch_id| batch_id.first > after));
+    batch_ids.drain(..batch_ids.len().saturating_sub(MAX_BATCH_IDS));
+    batch_ids
 }
--- a/crates/store/src/journal/archive.rs
+++ b/crates/store/src/journal/archive.rs
@@ -2,22 +2,22 @@
 
 use bytes::Bytes;
 
-use crate::journal::format::{decode, decode_state, encode, Log, Segment, Snap};
+use crate::journal::format::{decode, decode_state, encode, Log, Segment, Snapshot};
 use crate::journal::{JournalError, Replay};
-use crate::{PutOutcome, Store, StoreError, Versioned, VALUE_LIMIT};
+use crate::{PutOutcome, Store, StoreError, Versioned, MAX_VALUE_BYTES};
 
-const TRIES: usize = 4;
+const MAX_ATTEMPTS: usize = 4;
 /// Reads of log and snapshot that may meet a rotation in between before the reader gives up.
-const READ_TRIES: usize = 8;
+const MAX_READS: usize = 8;
 /// Segments of 32 KB kept for looking up the past; about three days at 20,000 changes of 500 bytes
 /// a day.
-const SEGMENTS_KEPT: usize = 1024;
+const MAX_SEGMENTS: usize = 1024;
 
 pub(crate) fn log_key(name: &str) -> String {
     format!("{name}/log")
 }
 
-pub(crate) fn snap_key(name: &str) -> String {
+pub(crate) fn snapshot_key(name: &str) -> String {
     format!("{name}/snap")
 }
 
@@ -25,7 +25,7 @@
     format!("{name}/archive/{first}")
 }
 
-fn or_default<T>(key: &str, found: Option<Versioned>) -> Result<(u64, T), JournalError>
+fn decode_or_default<T>(key: &str, found: Option<Versioned>) -> Result<(u64, T), JournalError>
 where
     T: Default + serde::de::DeserializeOwned,
 {
@@ -40,20 +40,21 @@
 pub(crate) async fn read<S: Store>(
     store: &S,
     name: &str,
-) -> Result<(u64, Log, Snap), JournalError> {
-    let (log_key, snap_key) = (log_key(name), snap_key(name));
-    for _ in 0..READ_TRIES {
+) -> Result<(u64, Log, Snapshot), JournalError> {
+    let (log_key, snapshot_key) = (log_key(name), snapshot_key(name));
+    for _ in 0..MAX_READS {
         let found = store.get(&log_key).await.map_err(JournalError::Unavailable)?;
-        let (version, log): (_, Log) = or_default(&log_key, found)?;
-        let found = store.get(&snap_key).await.map_err(JournalError::Unavailable)?;
-        let (_, snap): (_, Snap) = or_default(&snap_key, found)?;
-        if log.first > snap.sequence + 1 {
-            let detail = format!("ends at {}, but the log begins at {}", snap.sequence, log.first);
-            return Err(JournalError::Corrupt { key: snap_key, detail });
+        let (version, log): (_, Log) = decode_or_default(&log_key, found)?;
+        let found = store.get(&snapshot_key).await.map_err(JournalError::Unavailable)?;
+        let (_, snapshot): (_, Snapshot) = decode_or_default(&snapshot_key, found)?;
+        if log.first > snapshot.sequence + 1 {
+            let detail =
+                format!("ends at {}, but the log begins at {}", snapshot.sequence, log.first);
+            return Err(JournalError::Corrupt { key: snapshot_key, detail });
         }
         // A snapshot beyond the log shows that the log was rotated after it was read.
-        if log.last() >= snap.sequence {
-            return Ok((version, log, snap));
+        if log.last() >= snapshot.sequence {
+            return Ok((version, log, snapshot));
         }
     }
     Err(JournalError::Corrupt { key: log_key, detail: "ends before the snapshot".into() })
@@ -61,16 +62,20 @@
 
 /// Writes `value` to a key until what it holds satisfies `is_done`. Each write is conditional on
 /// what was read, so a paused writer never replaces something newer.
-async fn write_guarded<S, F>(store: &S, key: &str, mut make: F) -> Result<(), JournalError>
+async fn write_conditionally<S, F>(
+    store: &S,
+    key: &str,
+    mut make_value: F,
+) -> Result<(), JournalError>
 where
     S: Store,
     F: FnMut(Option<&Versioned>) -> Result<Option<Bytes>, JournalError> + Send,
 {
     let mut failure = None;
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         let found = store.get(key).await.map_err(JournalError::Unavailable)?;
-        let Some(value) = make(found.as_ref())? else { return Ok(()) };
-        if value.len() > VALUE_LIMIT {
+        let Some(value) = make_value(found.as_ref())? else { return Ok(()) };
+        if value.len() > MAX_VALUE_BYTES {
             return Err(JournalError::TooLarge);
         }
         match store.put(key, found.map_or(0, |found| found.version), value).await {
@@ -89,26 +94,26 @@
     store: &S,
     name: &str,
     log: &Log,
-    new: &Snap,
+    snapshot: &Snapshot,
     is_archived: bool,
 ) -> Result<(), JournalError> {
-    let key = snap_key(name);
+    let key = snapshot_key(name);
     let found = store.get(&key).await.map_err(JournalError::Unavailable)?;
-    let (_, old): (_, Snap) = or_default(&key, found)?;
-    let mut new = new.clone();
-    new.segments = old.segments.clone();
+    let (_, previous): (_, Snapshot) = decode_or_default(&key, found)?;
+    let mut snapshot = snapshot.clone();
+    snapshot.segments = previous.segments.clone();
     let mut dropped = Vec::new();
-    if is_archived && archive(store, name, log, &old).await? {
-        if !new.segments.contains(&log.first) {
-            new.segments.push(log.first);
+    if is_archived && archive(store, name, log, &previous).await? {
+        if !snapshot.segments.contains(&log.first) {
+            snapshot.segments.push(log.first);
         }
-        let excess = new.segments.len().saturating_sub(SEGMENTS_KEPT);
-        dropped = new.segments.drain(..excess).collect();
+        let excess = snapshot.segments.len().saturating_sub(MAX_SEGMENTS);
+        dropped = snapshot.segments.drain(..excess).collect();
     }
-    let value = encode(&key, &new)?;
-    write_guarded(store, &key, |found| {
-        let (_, held): (_, Snap) = or_default(&key, found.cloned())?;
-        Ok((held.sequence < new.sequence).then(|| value.clone()))
+    let value = encode(&key, &snapshot)?;
+    write_conditionally(store, &key, |found| {
+        let (_, stored): (_, Snapshot) = decode_or_default(&key, found.cloned())?;
+        Ok((stored.sequence < snapshot.sequence).then(|| value.clone()))
     })
     .await?;
     for first in dropped {
@@ -125,27 +130,27 @@
     store: &S,
     name: &str,
     log: &Log,
-    old: &Snap,
+    previous: &Snapshot,
 ) -> Result<bool, JournalError> {
     let key = segment_key(name, log.first);
     let mut is_complete = true;
-    write_guarded(store, &key, |found| {
-        let base = match found {
+    write_conditionally(store, &key, |found| {
+        let base_state = match found {
             Some(found) => {
-                let held: Segment = decode(&key, &found.value)?;
-                if held.log.last() >= log.last() {
+                let stored: Segment = decode(&key, &found.value)?;
+                if stored.log.last() >= log.last() {
                     return Ok(None);
                 }
-                held.base
+                stored.base_state
             }
-            None if old.sequence + 1 == log.first => old.state.clone(),
+            None if previous.sequence + 1 == log.first => previous.state.clone(),
             None => {
                 tracing::warn!(event = "segment_not_archived", name, first = log.first);
                 is_complete = false;
                 return Ok(None);
             }
         };
-        encode(&key, &Segment { base, log: log.clone() }).map(Some)
+        encode(&key, &Segment { base_state, log: log.clone() }).map(Some)
     })
     .await?;
     Ok(is_complete)
@@ -157,7 +162,7 @@
 /// # Errors
 ///
 /// Fails when the store does not answer or holds something malformed.
-pub async fn past<S: Store, R: Replay>(
+pub async fn state_at<S: Store, R: Replay>(
     store: &S,
     name: &str,
     sequence: u64,
@@ -165,22 +170,23 @@
     if sequence == 0 {
         return Ok(Some((R::default(), None)));
     }
-    let (_, log, snap) = read(store, name).await?;
+    let (_, log, snapshot) = read(store, name).await?;
     if sequence > log.last() {
         return Ok(None);
     }
     let key = log_key(name);
-    if snap.sequence < sequence {
-        return replay(&key, &snap.state, snap.sequence, &log, sequence).map(Some);
+    if snapshot.sequence < sequence {
+        return replay(&key, &snapshot.state, snapshot.sequence, &log, sequence).map(Some);
     }
-    let Some(first) = snap.segments.iter().copied().rev().find(|first| *first <= sequence) else {
+    let Some(first) = snapshot.segments.iter().copied().rev().find(|first| *first <= sequence)
+    else {
         return Ok(None);
     };
     let key = segment_key(name, first);
     let found = store.get(&key).await.map_err(JournalError::Unavailable)?;
     match found.map(|found| decode::<Segment>(&key, &found.value)).transpose()? {
-        Some(Segment { base, log }) if log.last() >= sequence => {
-            replay(&key, &base, first - 1, &log, sequence).map(Some)
+        Some(Segment { base_state, log }) if log.last() >= sequence => {
+            replay(&key, &base_state, first - 1, &log, sequence).map(Some)
         }
         _ => Ok(None),
     }
@@ -188,12 +194,12 @@
 
 fn replay<R: Replay>(
     key: &str,
-    base: &[u8],
+    base_state: &[u8],
     base_sequence: u64,
     log: &Log,
     sequence: u64,
 ) -> Result<(R, Option<R::Record>), JournalError> {
-    let mut state: R = decode_state(key, base)?;
+    let mut state: R = decode_state(key, base_state)?;
     let mut last = None;
     for (number, record) in log.records() {
         if number > base_sequence && number <= sequence {
--- a/crates/store/src/journal/format.rs
+++ b/crates/store/src/journal/format.rs
@@ -7,7 +7,7 @@
 use crate::journal::JournalError;
 
 /// First byte of each value, so that a later format can be told from this one.
-const FORMAT: u8 = 1;
+const FORMAT_VERSION: u8 = 1;
 
 /// Records that were committed by one write.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -19,7 +19,7 @@
 
 /// Writer and number of the batch whose first record has this sequence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Tag {
+pub(crate) struct BatchId {
     pub first: u64,
     pub writer: u64,
     pub number: u64,
@@ -52,23 +52,23 @@
     }
 
     /// Returns the tag of each batch.
-    pub fn tags(&self) -> impl Iterator<Item = Tag> + '_ {
+    pub fn batch_ids(&self) -> impl Iterator<Item = BatchId> + '_ {
         self.batches.iter().scan(self.first, |next, batch| {
             let first = *next;
             *next += batch.records.len() as u64;
-            Some(Tag { first, writer: batch.writer, number: batch.number })
+            Some(BatchId { first, writer: batch.writer, number: batch.number })
         })
     }
 }
 
 /// Value of `<name>/snap`: the state after the record `sequence`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Snap {
+pub(crate) struct Snapshot {
     pub sequence: u64,
     /// Encoded state; empty for the default state.
     pub state: Bytes,
     /// Tags of the last batches up to `sequence`.
-    pub recent: Vec<Tag>,
+    pub recent_batches: Vec<BatchId>,
     /// First sequence of each archived segment, in order.
     pub segments: Vec<u64>,
 }
@@ -76,13 +76,13 @@
 /// Value of `<name>/archive/<first>`: a former log and the state before it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Segment {
-    pub base: Bytes,
+    pub base_state: Bytes,
     pub log: Log,
 }
 
 pub(crate) fn encode<T: Serialize>(key: &str, value: &T) -> Result<Bytes, JournalError> {
     let mut buffer = BytesMut::new().writer();
-    buffer.get_mut().put_u8(FORMAT);
+    buffer.get_mut().put_u8(FORMAT_VERSION);
     bincode::serde::encode_into_std_write(value, &mut buffer, bincode::config::standard())
         .map_err(|error| JournalError::Corrupt { key: key.into(), detail: error.to_string() })?;
     Ok(buffer.into_inner().freeze())
@@ -91,7 +91,7 @@
 pub(crate) fn decode<T: DeserializeOwned>(key: &str, value: &[u8]) -> Result<T, JournalError> {
     let corrupt = |detail: String| JournalError::Corrupt { key: key.into(), detail };
     let content = match value.split_first() {
-        Some((&FORMAT, content)) => content,
+        Some((&FORMAT_VERSION, content)) => content,
         Some((format, _)) => return Err(corrupt(format!("unknown format {format}"))),
         None => return Err(corrupt("empty value".into())),
     };
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -16,7 +16,7 @@
 pub use crate::repository::{ConfigRepository, SubmitError};
 
 /// Largest value that the store holds, in bytes.
-pub const VALUE_LIMIT: usize = 1024 * 1024;
+pub const MAX_VALUE_BYTES: usize = 1024 * 1024;
 
 /// A value with its version. Versions of a key only rise.
 #[derive(Debug, Clone, PartialEq, Eq)]
--- a/crates/store/src/repository.rs
+++ b/crates/store/src/repository.rs
@@ -19,13 +19,13 @@
 use crate::Store;
 
 /// Name of the journal.
-pub const JOURNAL: &str = "config";
+pub const JOURNAL_NAME: &str = "config";
 /// Rounds of one submission that may lose to a log rewrite without new versions.
-const ROUNDS: usize = 8;
+const MAX_ATTEMPTS: usize = 8;
 /// Attempts to find out what became of a write, and the pause after the first one.
-const RESOLVE_TRIES: u32 = 3;
-const RESOLVE_PAUSE: Duration = Duration::from_millis(50);
-const AUTHOR_LIMIT: usize = 256;
+const MAX_RESOLVES: u32 = 3;
+const RESOLVE_BACKOFF: Duration = Duration::from_millis(50);
+const MAX_AUTHOR_BYTES: usize = 256;
 
 /// A patch that was not accepted, or may not have been.
 #[derive(Debug)]
@@ -53,8 +53,8 @@
                 write!(f, "the base does not exist; version {current} is current")
             }
             SubmitError::Invalid(problems) => {
-                let texts: Vec<String> = problems.iter().map(Problem::to_string).collect();
-                write!(f, "invalid: {}", texts.join("; "))
+                let messages: Vec<String> = problems.iter().map(Problem::to_string).collect();
+                write!(f, "invalid: {}", messages.join("; "))
             }
             SubmitError::Unavailable(error) => write!(f, "not applied: {error}"),
             SubmitError::Unknown(error) => write!(f, "may have been applied: {error}"),
@@ -87,9 +87,12 @@
     /// Fails when the store does not answer or holds something that this release cannot read.
     pub async fn open(store: S, writer: u64) -> Result<Self, JournalError> {
         let journal: Journal<S, History> =
-            Journal::open(store.clone(), JOURNAL, writer).await?.with_archive();
+            Journal::open(store.clone(), JOURNAL_NAME, writer).await?.with_archive();
         let state = RwLock::new(ConfigState::default());
-        journal.state().document().map_err(|problems| corrupt(journal.sequence(), &problems))?;
+        journal
+            .state()
+            .document()
+            .map_err(|problems| corrupt_version(journal.sequence(), &problems))?;
         publish(&state, &journal);
         Ok(ConfigRepository {
             shared: Arc::new(Shared { store, journal: Mutex::new(journal), state }),
@@ -132,9 +135,11 @@
         if state.version == version {
             return Ok(Some(state.encoded()));
         }
-        let found = archive::past::<S, History>(&self.shared.store, JOURNAL, version).await?;
+        let found =
+            archive::state_at::<S, History>(&self.shared.store, JOURNAL_NAME, version).await?;
         let Some((history, _)) = found else { return Ok(None) };
-        let document = history.document().map_err(|problems| corrupt(version, &problems))?;
+        let document =
+            history.document().map_err(|problems| corrupt_version(version, &problems))?;
         Ok(Some(encode_document(&document)))
     }
 
@@ -150,8 +155,8 @@
         patch: Bytes,
         author: &str,
     ) -> Result<ConfigVersion, SubmitError> {
-        if author.len() > AUTHOR_LIMIT {
-            let detail = format!("the author's name exceeds {AUTHOR_LIMIT} bytes");
+        if author.len() > MAX_AUTHOR_BYTES {
+            let detail = format!("the author's name exceeds {MAX_AUTHOR_BYTES} bytes");
             return Err(SubmitError::Invalid(vec![Problem::new("", detail)]));
         }
         let mut journal = self.shared.journal.lock().await;
@@ -174,7 +179,7 @@
         patch: Bytes,
         author: &str,
     ) -> Result<ConfigVersion, SubmitError> {
-        for _ in 0..ROUNDS {
+        for _ in 0..MAX_ATTEMPTS {
             // This settles an earlier submission, which must not be continued by this one even if
             // it is the same patch. While the store is down, it tells so before anything is sent.
             journal.refresh().await.map_err(SubmitError::Unavailable)?;
@@ -210,7 +215,7 @@
         if let Some((_, author)) = recent.into_iter().find(|(number, _)| *number == version) {
             return author;
         }
-        match archive::past::<S, History>(&self.shared.store, JOURNAL, version).await {
+        match archive::state_at::<S, History>(&self.shared.store, JOURNAL_NAME, version).await {
             Ok(Some((_, Some(change)))) => change.author,
             Ok(_) => String::new(),
             Err(error) => {
@@ -231,7 +236,7 @@
         after: ConfigVersion,
         wait: Duration,
     ) -> Result<Option<(ConfigVersion, Arc<Document>)>, JournalError> {
-        let end = runtime::now() + wait;
+        let deadline = runtime::now() + wait;
         loop {
             let log_version = {
                 let journal = self.shared.journal.lock().await;
@@ -243,9 +248,9 @@
             if current.0 > after {
                 return Ok(Some(current));
             }
-            let left = end.saturating_sub(runtime::now());
-            let key = archive::log_key(JOURNAL);
-            let changed = self.shared.store.watch(&key, log_version, left).await;
+            let remaining = deadline.saturating_sub(runtime::now());
+            let key = archive::log_key(JOURNAL_NAME);
+            let changed = self.shared.store.watch(&key, log_version, remaining).await;
             if changed.map_err(JournalError::Unavailable)?.is_none() {
                 return Ok(None);
             }
@@ -255,9 +260,12 @@
     }
 }
 
-fn corrupt(version: ConfigVersion, problems: &[Problem]) -> JournalError {
-    let texts: Vec<String> = problems.iter().map(Problem::to_string).collect();
-    JournalError::Corrupt { key: format!("{JOURNAL} version {version}"), detail: texts.join("; ") }
+fn corrupt_version(version: ConfigVersion, problems: &[Problem]) -> JournalError {
+    let messages: Vec<String> = problems.iter().map(Problem::to_string).collect();
+    JournalError::Corrupt {
+        key: format!("{JOURNAL_NAME} version {version}"),
+        detail: messages.join("; "),
+    }
 }
 
 /// Finds out whether an append was committed after the store failed to tell.
@@ -265,19 +273,19 @@
     journal: &mut Journal<S, History>,
     first_error: JournalError,
 ) -> Result<bool, SubmitError> {
-    let mut last = first_error;
-    for attempt in 0..RESOLVE_TRIES {
-        runtime::sleep(RESOLVE_PAUSE * 2_u32.pow(attempt)).await;
+    let mut last_error = first_error;
+    for attempt in 0..MAX_RESOLVES {
+        runtime::sleep(RESOLVE_BACKOFF * 2_u32.pow(attempt)).await;
         match journal.resolve().await {
             Ok(true) => return Ok(true),
-            Ok(false) => return Err(SubmitError::Unavailable(last)),
+            Ok(false) => return Err(SubmitError::Unavailable(last_error)),
             Err(JournalError::Undetermined) => {
                 return Err(SubmitError::Unknown(JournalError::Undetermined))
             }
-            Err(error) => last = error,
+            Err(error) => last_error = error,
         }
     }
-    Err(SubmitError::Unknown(last))
+    Err(SubmitError::Unknown(last_error))
 }
 
 /// Makes the journal's version the one in effect. A document that this release cannot read is
--- a/crates/store/src/repository/history.rs
+++ b/crates/store/src/repository/history.rs
@@ -12,9 +12,9 @@
 
 use crate::journal::Replay;
 
-const RECENT_CHANGES: usize = 128;
+const MAX_RECENT_CHANGES: usize = 128;
 /// Together with the largest document the state stays below the store's value limit.
-const RECENT_BYTES: usize = 64 * 1024;
+const MAX_RECENT_BYTES: usize = 64 * 1024;
 
 /// An accepted patch.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -71,7 +71,7 @@
             recent.iter().map(|change| change.patch.len() + change.author.len()).sum()
         };
         while self.recent.len() > 1
-            && (self.recent.len() > RECENT_CHANGES || size(&self.recent) > RECENT_BYTES)
+            && (self.recent.len() > MAX_RECENT_CHANGES || size(&self.recent) > MAX_RECENT_BYTES)
         {
             self.recent.pop_front();
         }
--- a/crates/store/tests/suite/contract.rs
+++ b/crates/store/tests/suite/contract.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use http::{Method, StatusCode};
 use peridotfold_standins::store::{Faults, Mode};
-use peridotfold_store::{HttpStore, PutOutcome, Store, VALUE_LIMIT};
+use peridotfold_store::{HttpStore, PutOutcome, Store, MAX_VALUE_BYTES};
 use peridotfold_wire::error::Step;
 use peridotfold_wire::http_client::HttpClient;
 use peridotfold_wire::runtime;
@@ -17,7 +17,7 @@
     Bytes::copy_from_slice(value.as_bytes())
 }
 
-async fn written<S: Store>(store: &S, key: &str, expect: u64, value: &str) -> u64 {
+async fn put_written<S: Store>(store: &S, key: &str, expect: u64, value: &str) -> u64 {
     match store.put(key, expect, text(value)).await.unwrap() {
         PutOutcome::Written(version) => version,
         PutOutcome::Conflict(found) => panic!("{key}: expected {expect}, found {found}"),
@@ -30,9 +30,9 @@
         let (_stand_in, store) = start().await;
         assert_eq!(store.get("a/b").await.unwrap(), None);
         assert_eq!(store.put("a/b", 7, text("x")).await.unwrap(), PutOutcome::Conflict(0));
-        let first = written(&store, "a/b", 0, "x").await;
+        let first = put_written(&store, "a/b", 0, "x").await;
         assert_eq!(store.put("a/b", 0, text("y")).await.unwrap(), PutOutcome::Conflict(first));
-        let second = written(&store, "a/b", first, "y").await;
+        let second = put_written(&store, "a/b", first, "y").await;
         assert!(second > first);
         assert_eq!(store.put("a/b", first, text("z")).await.unwrap(), PutOutcome::Conflict(second));
         let found = store.get("a/b").await.unwrap().unwrap();
@@ -41,7 +41,7 @@
         store.delete("a/b").await.unwrap();
         assert_eq!(store.get("a/b").await.unwrap(), None);
         // A paused writer must not take the new value for the old one.
-        let third = written(&store, "a/b", 0, "new").await;
+        let third = put_written(&store, "a/b", 0, "new").await;
         assert!(third > second);
         assert_eq!(store.put("a/b", second, text("z")).await.unwrap(), PutOutcome::Conflict(third));
     });
@@ -52,18 +52,18 @@
     run(async {
         let (stand_in, store) = start().await;
         let mut random = fastrand::Rng::with_seed(1);
-        let value: Vec<u8> = (0..VALUE_LIMIT).map(|_| random.u8(..)).collect();
-        for (key, length) in [("empty", 0), ("one", 1), ("full", VALUE_LIMIT)] {
+        let value: Vec<u8> = (0..MAX_VALUE_BYTES).map(|_| random.u8(..)).collect();
+        for (key, length) in [("empty", 0), ("one", 1), ("full", MAX_VALUE_BYTES)] {
             let value = Bytes::copy_from_slice(&value[..length]);
             store.put(key, 0, value.clone()).await.unwrap();
             assert_eq!(store.get(key).await.unwrap().unwrap().value, value);
         }
-        let error = store.put("over", 0, vec![0; VALUE_LIMIT + 1].into()).await.unwrap_err();
+        let error = store.put("over", 0, vec![0; MAX_VALUE_BYTES + 1].into()).await.unwrap_err();
         assert!(error.is_not_sent());
         // The stand-in itself refuses it too.
         let client = HttpClient::default();
         let path = "/kv/over?expect=0";
-        let body = vec![0; VALUE_LIMIT + 1];
+        let body = vec![0; MAX_VALUE_BYTES + 1];
         let response = client.simple(stand_in.address(), Method::PUT, path, body, TIMEOUT).await;
         assert_eq!(response.unwrap().status(), StatusCode::PAYLOAD_TOO_LARGE);
         assert_eq!(store.get("over").await.unwrap(), None);
@@ -78,7 +78,7 @@
         let (_stand_in, store) = start().await;
         assert_eq!(store.list("entries/").await.unwrap(), Vec::new());
         for key in ["entries/b", "entries/a", "entries", "entriesx", "entry/c", "zone"] {
-            written(&store, key, 0, &format!("value\n of {key}")).await;
+            put_written(&store, key, 0, &format!("value\n of {key}")).await;
         }
         let found = store.list("entries/").await.unwrap();
         let pairs: Vec<_> = found.iter().map(|(k, v)| (k.as_str(), v.value.clone())).collect();
@@ -97,7 +97,7 @@
         let (stand_in, store) = start().await;
         let wait = Duration::from_millis(30);
         assert_eq!(store.watch("key", 0, wait).await.unwrap(), None);
-        let first = written(&store, "key", 0, "x").await;
+        let first = put_written(&store, "key", 0, "x").await;
         assert_eq!(store.watch("key", 0, TIMEOUT).await.unwrap().unwrap().version, first);
         let before = runtime::now();
         assert_eq!(store.watch("key", first, wait).await.unwrap(), None);
@@ -107,8 +107,8 @@
             async move { store.watch("key", first, TIMEOUT).await }
         });
         eventually("the watch waits", || stand_in.stats().watches_waiting == 1).await;
-        written(&store, "other", 0, "x").await;
-        let second = written(&store, "key", first, "y").await;
+        put_written(&store, "other", 0, "x").await;
+        let second = put_written(&store, "key", first, "y").await;
         let found = watch.await.unwrap().unwrap();
         assert_eq!((found.version, found.value), (second, text("y")));
         let abandoned = runtime::spawn({
@@ -156,7 +156,7 @@
 fn faults_have_the_effect_that_they_announce() {
     run(async {
         let (stand_in, store) = start().await;
-        let hasty = HttpStore::new(stand_in.address(), Duration::from_millis(100));
+        let impatient = HttpStore::new(stand_in.address(), Duration::from_millis(100));
         let set = |body: &'static str| {
             let (client, address) = (HttpClient::default(), stand_in.address());
             async move {
@@ -169,14 +169,14 @@
         let error = store.put("lost", 0, text("x")).await.unwrap_err();
         assert!(!error.is_not_sent(), "{error}");
         let version = store.get("lost").await.unwrap().unwrap().version;
-        written(&store, "lost", version, "y").await;
+        put_written(&store, "lost", version, "y").await;
 
         set(r#"{"mode": "refuse"}"#).await;
         assert!(!store.put("refused", 0, text("x")).await.unwrap_err().is_not_sent());
         assert!(store.list("").await.is_err());
         assert!(store.watch("lost", 0, TIMEOUT).await.is_err());
         set(r#"{"mode": "hang"}"#).await;
-        let error = hasty.put("hung", 0, text("x")).await.unwrap_err();
+        let error = impatient.put("hung", 0, text("x")).await.unwrap_err();
         assert_eq!((error.step, error.peer), (Step::Timeout, stand_in.address().to_string()));
         let waiting = runtime::spawn({
             let store = store.clone();
@@ -220,7 +220,7 @@
 fn calls_are_counted_by_kind() {
     run(async {
         let (stand_in, store) = start().await;
-        written(&store, "a", 0, "x").await;
+        put_written(&store, "a", 0, "x").await;
         store.get("a").await.unwrap();
         store.list("").await.unwrap();
         store.watch("a", 0, TIMEOUT).await.unwrap();
--- a/crates/store/tests/suite/faults.rs
+++ b/crates/store/tests/suite/faults.rs
@@ -21,7 +21,7 @@
     /// It certainly did not reach the store.
     NotSent,
     /// It seems lost and takes effect just before the next write does.
-    Late,
+    Delayed,
     /// It takes effect, and the writer ends.
     CrashAfter,
     /// The writer ends before it takes effect.
@@ -35,15 +35,15 @@
     faults: HashMap<usize, Fault>,
     puts: usize,
     failing_gets: usize,
-    gets_after_fault: usize,
-    late: Vec<(String, u64, Bytes)>,
-    late_outcomes: Vec<PutOutcome>,
+    gets_to_fail: usize,
+    delayed_puts: Vec<(String, u64, Bytes)>,
+    delayed_outcomes: Vec<PutOutcome>,
     signals: [(Trigger, Shutdown); 3],
 }
 
 /// A store that obeys a script. Clones share it.
 #[derive(Debug, Clone)]
-pub struct Scripted {
+pub struct ScriptedStore {
     inner: HttpStore,
     script: Arc<Mutex<Script>>,
 }
@@ -52,19 +52,19 @@
 const PAUSED: usize = 1;
 const RELEASED: usize = 2;
 
-impl Scripted {
+impl ScriptedStore {
     /// `faults` names writes by their number, from 0.
     pub fn new(inner: HttpStore, faults: impl IntoIterator<Item = (usize, Fault)>) -> Self {
         let script = Script {
             faults: faults.into_iter().collect(),
             puts: 0,
             failing_gets: 0,
-            gets_after_fault: 0,
-            late: Vec::new(),
-            late_outcomes: Vec::new(),
+            gets_to_fail: 0,
+            delayed_puts: Vec::new(),
+            delayed_outcomes: Vec::new(),
             signals: [shutdown::channel(), shutdown::channel(), shutdown::channel()],
         };
-        Scripted { inner, script: Arc::new(Mutex::new(script)) }
+        ScriptedStore { inner, script: Arc::new(Mutex::new(script)) }
     }
 
     /// Number of writes so far.
@@ -87,7 +87,7 @@
     /// Adds a fault for the next write, and lets the reads that follow it fail.
     pub fn fail_put_then_gets(&self, fault: Fault, gets: usize) {
         self.fail_put(0, fault);
-        self.script.lock().gets_after_fault = gets;
+        self.script.lock().gets_to_fail = gets;
     }
 
     /// Returns once the writer has ended by a fault.
@@ -106,13 +106,13 @@
     }
 
     /// Performs the late writes; returns the outcomes of all so far.
-    pub async fn deliver_late(&self) -> Vec<PutOutcome> {
-        let late = std::mem::take(&mut self.script.lock().late);
-        for (key, expect, value) in late {
+    pub async fn deliver_delayed(&self) -> Vec<PutOutcome> {
+        let delayed_puts = std::mem::take(&mut self.script.lock().delayed_puts);
+        for (key, expect, value) in delayed_puts {
             let outcome = self.inner.put(&key, expect, value).await.unwrap();
-            self.script.lock().late_outcomes.push(outcome);
+            self.script.lock().delayed_outcomes.push(outcome);
         }
-        self.script.lock().late_outcomes.clone()
+        self.script.lock().delayed_outcomes.clone()
     }
 
     async fn wait(&self, signal: usize) {
@@ -129,7 +129,7 @@
     }
 }
 
-impl Store for Scripted {
+impl Store for ScriptedStore {
     async fn get(&self, key: &str) -> Result<Option<Versioned>, StoreError> {
         let is_failing = {
             let mut script = self.script.lock();
@@ -150,11 +150,11 @@
             let number = script.puts - 1;
             let fault = script.faults.get(&number).copied();
             if fault.is_some() {
-                script.failing_gets += std::mem::take(&mut script.gets_after_fault);
+                script.failing_gets += std::mem::take(&mut script.gets_to_fail);
             }
             fault
         };
-        self.deliver_late().await;
+        self.deliver_delayed().await;
         match fault {
             None => self.inner.put(key, expect, value).await,
             Some(Fault::Lost) => {
@@ -163,8 +163,8 @@
             }
             Some(Fault::Refused) => Err(self.error(Step::Receive)),
             Some(Fault::NotSent) => Err(self.error(Step::Connect)),
-            Some(Fault::Late) => {
-                self.script.lock().late.push((key.to_owned(), expect, value));
+            Some(Fault::Delayed) => {
+                self.script.lock().delayed_puts.push((key.to_owned(), expect, value));
                 Err(self.error(Step::Timeout))
             }
             Some(Fault::CrashAfter) => {
--- a/crates/store/tests/suite/journal.rs
+++ b/crates/store/tests/suite/journal.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use smol::future::or;
 
-use crate::faults::{Fault, Scripted};
+use crate::faults::{Fault, ScriptedStore};
 use crate::{run, start};
 
 /// Records in the order of their application. Padding makes the log rotate every few records.
@@ -45,12 +45,12 @@
     journal.state().0.clone()
 }
 
-async fn open(store: &Scripted, writer: u64) -> Log<Scripted> {
+async fn open(store: &ScriptedStore, writer: u64) -> Log<ScriptedStore> {
     Log::open(store.clone(), "j", writer).await.unwrap().with_archive()
 }
 
 /// Appends each value, repeating it while the store is unavailable.
-async fn append_all(journal: &mut Log<Scripted>, values: impl Iterator<Item = u32>) {
+async fn append_all(journal: &mut Log<ScriptedStore>, values: impl Iterator<Item = u32>) {
     for value in values {
         // More than any script's faults, so that a journal that never recovers fails the test.
         const TRIES: usize = 20;
@@ -66,15 +66,15 @@
 /// Checks that each former state can still be found.
 async fn assert_past(store: &HttpStore, expected: &[u32], case: &str) {
     for length in 0..=expected.len() {
-        let past = archive::past::<_, Values>(store, "j", length as u64).await.unwrap();
-        let state = past.unwrap_or_else(|| panic!("{case}: no state {length}")).0;
+        let state_at = archive::state_at::<_, Values>(store, "j", length as u64).await.unwrap();
+        let state = state_at.unwrap_or_else(|| panic!("{case}: no state {length}")).0;
         assert_eq!(state.0, expected[..length], "{case}");
     }
 }
 
 async fn writes_of_undisturbed_run() -> usize {
     let (_stand_in, store) = start().await;
-    let scripted = Scripted::new(store.clone(), []);
+    let scripted = ScriptedStore::new(store.clone(), []);
     append_all(&mut open(&scripted, 1).await, 0..RECORDS).await;
     assert_eq!(replayed(&store).await, expected());
     // At least two rotations, each with an archived segment and a snapshot.
@@ -86,7 +86,7 @@
 fn each_fault_at_each_write_commits_each_record_once() {
     run(async {
         let writes = writes_of_undisturbed_run().await;
-        let faults = [Fault::Lost, Fault::Refused, Fault::NotSent, Fault::Late];
+        let faults = [Fault::Lost, Fault::Refused, Fault::NotSent, Fault::Delayed];
         let pairs = faults.iter().flat_map(|a| faults.iter().map(|b| vec![*a, *b]));
         let sequences: Vec<Vec<Fault>> =
             faults.iter().map(|fault| vec![*fault]).chain(pairs).collect();
@@ -95,7 +95,7 @@
                 for failing_gets in [0, 1] {
                     let (_stand_in, store) = start().await;
                     let script = faults.iter().enumerate().map(|(i, fault)| (at + i, *fault));
-                    let scripted = Scripted::new(store.clone(), script);
+                    let scripted = ScriptedStore::new(store.clone(), script);
                     let mut journal = open(&scripted, 1).await;
                     for value in 0..RECORDS {
                         if scripted.puts() <= at && failing_gets > 0 {
@@ -103,7 +103,7 @@
                         }
                         append_all(&mut journal, value..value + 1).await;
                     }
-                    scripted.deliver_late().await;
+                    scripted.deliver_delayed().await;
                     let case = format!("{faults:?} at write {at}, {failing_gets} failing reads");
                     assert_eq!(journal.state().0, expected(), "{case}");
                     assert_eq!(replayed(&store).await, expected(), "{case}");
@@ -121,7 +121,7 @@
         for at in 0..writes {
             for fault in [Fault::CrashBefore, Fault::CrashAfter] {
                 let (_stand_in, store) = start().await;
-                let scripted = Scripted::new(store.clone(), [(at, fault)]);
+                let scripted = ScriptedStore::new(store.clone(), [(at, fault)]);
                 let mut journal = open(&scripted, 1).await;
                 or(append_all(&mut journal, 0..RECORDS), scripted.crashed()).await;
                 let committed = journal.sequence() as u32;
@@ -146,8 +146,8 @@
             // Small records first let the successor extend the log that the old owner archives.
             for (small, successors) in [(0, 1), (0, 9), (9, 9)] {
                 let (_stand_in, store) = start().await;
-                let scripted = Scripted::new(store.clone(), [(at, Fault::Paused)]);
-                let plain = Scripted::new(store.clone(), []);
+                let scripted = ScriptedStore::new(store.clone(), [(at, Fault::Paused)]);
+                let plain = ScriptedStore::new(store.clone(), []);
                 let mut old = open(&scripted, 1).await;
                 let takeover = async {
                     scripted.paused().await;
@@ -192,10 +192,10 @@
 fn an_unknown_outcome_is_resolved_for_good() {
     run(async {
         for (fault, is_committed) in
-            [(Fault::Lost, true), (Fault::Refused, false), (Fault::Late, false)]
+            [(Fault::Lost, true), (Fault::Refused, false), (Fault::Delayed, false)]
         {
             let (_stand_in, store) = start().await;
-            let scripted = Scripted::new(store.clone(), []);
+            let scripted = ScriptedStore::new(store.clone(), []);
             let mut journal = open(&scripted, 1).await;
             append_all(&mut journal, 0..3).await;
             scripted.fail_put(0, fault);
@@ -208,8 +208,8 @@
             // A late write lands during the resolution itself; either outcome may be found, but
             // it has to be the final one.
             let found = journal.resolve().await.unwrap();
-            assert!(found == is_committed || fault == Fault::Late, "{fault:?}");
-            scripted.deliver_late().await;
+            assert!(found == is_committed || fault == Fault::Delayed, "{fault:?}");
+            scripted.deliver_delayed().await;
             let kept = 3 + u32::from(found);
             assert_eq!(replayed(&store).await, (0..kept).collect::<Vec<_>>(), "{fault:?}");
             append_all(&mut journal, kept..6).await;
@@ -222,7 +222,7 @@
 fn a_write_that_arrives_after_the_resolution_has_no_effect() {
     run(async {
         let (_stand_in, store) = start().await;
-        let scripted = Scripted::new(store.clone(), []);
+        let scripted = ScriptedStore::new(store.clone(), []);
         let mut journal = open(&scripted, 1).await;
         append_all(&mut journal, 0..3).await;
         scripted.fail_put(0, Fault::Paused);
@@ -250,13 +250,13 @@
             [(Fault::Lost, 1), (Fault::Lost, 20), (Fault::Refused, 1), (Fault::Refused, 20)]
         {
             let (_stand_in, store) = start().await;
-            let scripted = Scripted::new(store.clone(), []);
+            let scripted = ScriptedStore::new(store.clone(), []);
             let mut journal = open(&scripted, 1).await;
             append_all(&mut journal, 0..2).await;
             scripted.fail_put(0, fault);
             scripted.fail_gets(1);
             assert!(journal.append(added(2)).await.is_err());
-            let mut other = open(&Scripted::new(store.clone(), []), 2).await;
+            let mut other = open(&ScriptedStore::new(store.clone(), []), 2).await;
             append_all(&mut other, 100..100 + others).await;
             assert_eq!(
                 journal.resolve().await.unwrap(),
@@ -274,7 +274,7 @@
 fn records_that_fit_no_value_are_refused_whole() {
     run(async {
         let (_stand_in, store) = start().await;
-        let mut journal = open(&Scripted::new(store.clone(), []), 1).await;
+        let mut journal = open(&ScriptedStore::new(store.clone(), []), 1).await;
         append_all(&mut journal, 0..2).await;
         let huge = Added { value: 2, padding: "x".repeat(2 * 1024 * 1024) };
         let both = vec![added(7).remove(0), huge];
--- a/crates/store/tests/suite/main.rs
+++ b/crates/store/tests/suite/main.rs
@@ -31,10 +31,10 @@
 }
 
 /// Waits until `is_true` holds.
-async fn eventually(what: &str, is_true: impl Fn() -> bool) {
+async fn eventually(condition: &str, is_true: impl Fn() -> bool) {
     let end = runtime::now() + TIMEOUT;
     while !is_true() {
-        assert!(runtime::now() < end, "still not the case: {what}");
+        assert!(runtime::now() < end, "still not the case: {condition}");
         runtime::sleep(Duration::from_millis(2)).await;
     }
 }
--- a/crates/store/tests/suite/racing.rs
+++ b/crates/store/tests/suite/racing.rs
@@ -26,7 +26,7 @@
     rejected: Vec<String>,
     unknown: Vec<String>,
     /// Base and author of the winner, as heard by losers.
-    heard: Vec<(u64, String)>,
+    winners: Vec<(u64, String)>,
     reads: Reads,
 }
 
@@ -41,8 +41,8 @@
     let stand_in = StandIn::start(Options { seed, ..Options::default() }).await.unwrap();
     let stand_in = Arc::new(stand_in);
     let store = HttpStore::new(stand_in.address(), TIMEOUT);
-    let is_over = Arc::new(AtomicBool::new(false));
-    let observer = runtime::spawn(observe(store.clone(), is_over.clone()));
+    let is_done = Arc::new(AtomicBool::new(false));
+    let observer = runtime::spawn(observe(store.clone(), is_done.clone()));
     let tasks: Vec<_> = (0..SUBMITTERS)
         .map(|index| runtime::spawn(submit_all(stand_in.clone(), store.clone(), seed, index)))
         .collect();
@@ -52,13 +52,13 @@
         all.accepted.extend(reports.accepted);
         all.rejected.extend(reports.rejected);
         all.unknown.extend(reports.unknown);
-        all.heard.extend(reports.heard);
+        all.winners.extend(reports.winners);
         all.reads.extend(reports.reads);
     }
     stand_in.set_faults(Faults::default());
-    is_over.store(true, Ordering::SeqCst);
+    is_done.store(true, Ordering::SeqCst);
     all.reads.extend(observer.await);
-    check(seed, &store, all).await;
+    check_history(seed, &store, all).await;
 }
 
 async fn open(store: &HttpStore, writer: u64) -> ConfigRepository<HttpStore> {
@@ -81,10 +81,10 @@
     version
 }
 
-async fn observe(store: HttpStore, is_over: Arc<AtomicBool>) -> Reads {
+async fn observe(store: HttpStore, is_done: Arc<AtomicBool>) -> Reads {
     let repository = open(&store, 1000).await;
     let mut reads = Vec::new();
-    while !is_over.load(Ordering::SeqCst) {
+    while !is_done.load(Ordering::SeqCst) {
         let version = read(&repository, &mut reads);
         match repository.wait_for_change(version, Duration::from_millis(50)).await {
             Ok(Some((found, _))) => assert!(found > version),
@@ -108,7 +108,7 @@
             stand_in.set_faults(Faults { mode, lose_probability, ..Faults::default() });
         }
         if random.u32(..12) == 0 {
-            repository = open_again(&stand_in, &store, index, number).await;
+            repository = reopen(&stand_in, &store, index, number).await;
         }
         let marker = format!("m-{index}-{number}");
         let patch = patch(&marker, 2000);
@@ -125,7 +125,7 @@
                     assert!(current > base);
                     assert!(read(&repository, &mut reports.reads) >= current);
                     if !author.is_empty() {
-                        reports.heard.push((base, author));
+                        reports.winners.push((base, author));
                     }
                 }
                 Err(SubmitError::Unavailable(_)) => {
@@ -148,7 +148,7 @@
 }
 
 /// Replaces a submitter's process, as when its VM restarts.
-async fn open_again(
+async fn reopen(
     stand_in: &StandIn,
     store: &HttpStore,
     index: u64,
@@ -160,7 +160,7 @@
     open(store, (index + 1) * 10_000 + u64::from(number)).await
 }
 
-async fn check(seed: u64, store: &HttpStore, reports: Reports) {
+async fn check_history(seed: u64, store: &HttpStore, reports: Reports) {
     let repository = open(store, 5000).await;
     let (last, _) = repository.current();
     assert!(!reports.accepted.is_empty());
@@ -195,7 +195,7 @@
         let is_reported = accepted.contains(marker) || reports.unknown.contains(marker);
         assert!(is_reported, "seed {seed}: {marker} was applied without a report");
     }
-    for (base, winner) in &reports.heard {
+    for (base, winner) in &reports.winners {
         assert_eq!(*winner, author(base + 1), "seed {seed}: winner of base {base}");
     }
     for (version, document) in &reports.reads {
@@ -206,6 +206,6 @@
         reports.accepted.len(),
         reports.rejected.len(),
         reports.unknown.len(),
-        reports.heard.len()
+        reports.winners.len()
     );
 }
--- a/crates/store/tests/suite/repository.rs
+++ b/crates/store/tests/suite/repository.rs
@@ -10,7 +10,7 @@
 use serde_json::json;
 use smol::future::or;
 
-use crate::faults::{Fault, Scripted};
+use crate::faults::{Fault, ScriptedStore};
 use crate::{run, start, TIMEOUT};
 
 /// Adds one cell; the padding removes a cell that does not exist.
@@ -127,8 +127,8 @@
         let repository = open(&store, 1).await;
         repository.submit(0, patch("a", 1), "anna").await.unwrap();
         for mode in [Mode::Refuse, Mode::Hang] {
-            let hasty = HttpStore::new(stand_in.address(), Duration::from_millis(100));
-            let repository = open(&hasty, 2).await;
+            let impatient = HttpStore::new(stand_in.address(), Duration::from_millis(100));
+            let repository = open(&impatient, 2).await;
             stand_in.set_faults(faults(mode));
             match repository.submit(1, patch("b", 1), "anna").await {
                 Err(SubmitError::Unavailable(_)) => {}
@@ -146,15 +146,15 @@
 #[test]
 fn a_lost_response_is_neither_applied_twice_nor_reported_wrongly() {
     run(async {
-        for fault in [Fault::Lost, Fault::Refused, Fault::Late, Fault::NotSent] {
+        for fault in [Fault::Lost, Fault::Refused, Fault::Delayed, Fault::NotSent] {
             for failing_gets in 0..8 {
                 let (_stand_in, store) = start().await;
-                let scripted = Scripted::new(store.clone(), []);
+                let scripted = ScriptedStore::new(store.clone(), []);
                 let repository = ConfigRepository::open(scripted.clone(), 1).await.unwrap();
                 repository.submit(0, patch("a", 1), "anna").await.unwrap();
                 scripted.fail_put_then_gets(fault, failing_gets);
                 let result = repository.submit(1, patch("b", 1), "bent").await;
-                scripted.deliver_late().await;
+                scripted.deliver_delayed().await;
                 let case = format!("{fault:?}, {failing_gets} failing reads");
                 let observer = open(&store, 9).await;
                 let is_applied = observer.current().0 == 2;
@@ -171,7 +171,7 @@
                     Err(SubmitError::Stale { current, author }) if author == "bent" => current,
                     other => panic!("{case}: {other:?}"),
                 };
-                scripted.deliver_late().await;
+                scripted.deliver_delayed().await;
                 assert_eq!(version, 2, "{case}");
                 let observer = open(&store, 10).await;
                 assert_eq!(observer.current().0, 2, "{case}");
@@ -187,7 +187,7 @@
     run(async {
         for fault in [Fault::CrashAfter, Fault::CrashBefore] {
             let (_stand_in, store) = start().await;
-            let scripted = Scripted::new(store.clone(), [(0, fault)]);
+            let scripted = ScriptedStore::new(store.clone(), [(0, fault)]);
             let repository = ConfigRepository::open(scripted.clone(), 1).await.unwrap();
             let submission = async {
                 let _ = repository.submit(0, patch("a", 1), "anna").await;
--- a/crates/wire/src/accept.rs
+++ b/crates/wire/src/accept.rs
@@ -12,10 +12,10 @@
 use crate::shutdown::Shutdown;
 
 /// Accept fails without pause when file descriptors have run out.
-const FAILURE_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 /// Time for handshakes that began before new ones were refused; several round trips between data
 /// centres.
-const HANDSHAKE_TIME: Duration = Duration::from_millis(50);
+const HANDSHAKE_GRACE: Duration = Duration::from_millis(50);
 
 /// Runs `serve` for each connection until the signal, and returns once all connections have ended.
 pub(crate) async fn run<F: Future<Output = ()> + Send + 'static>(
@@ -30,7 +30,7 @@
     if let Err(error) = reject_handshakes(&listener) {
         tracing::warn!(event = "handshakes_not_rejected", %error);
     }
-    accept_until(&listener, runtime::sleep(HANDSHAKE_TIME), &serve, &mut connections).await;
+    accept_until(&listener, runtime::sleep(HANDSHAKE_GRACE), &serve, &mut connections).await;
     drop(listener);
     for task in connections {
         task.await;
@@ -53,7 +53,7 @@
             None => return,
             Some(Err(error)) => {
                 tracing::warn!(event = "accept_failed", %error);
-                runtime::sleep(FAILURE_PAUSE).await;
+                runtime::sleep(ACCEPT_BACKOFF).await;
             }
             Some(Ok((stream, peer))) => {
                 connections.retain(|task| !task.is_finished());
--- a/crates/wire/src/body.rs
+++ b/crates/wire/src/body.rs
@@ -10,27 +10,27 @@
 
 /// The body was cut before its end.
 #[derive(Debug, Clone, Copy)]
-pub struct BodyCut;
+pub struct BodyTruncated;
 
-impl std::fmt::Display for BodyCut {
+impl std::fmt::Display for BodyTruncated {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("the body was cut before its end")
     }
 }
 
-impl std::error::Error for BodyCut {}
+impl std::error::Error for BodyTruncated {}
 
 /// A body that is known whole, or that arrives in parts.
 #[derive(Debug)]
 pub enum Body {
     Full(Option<Bytes>),
-    Parts(Pin<Box<Receiver<Result<Bytes, BodyCut>>>>),
+    Parts(Pin<Box<Receiver<Result<Bytes, BodyTruncated>>>>),
 }
 
 /// Feeds a [`Body::Parts`]. Dropping it without [`BodySender::finish`] cuts the body.
 #[derive(Debug)]
 pub struct BodySender {
-    sender: Sender<Result<Bytes, BodyCut>>,
+    sender: Sender<Result<Bytes, BodyTruncated>>,
     finished: bool,
 }
 
@@ -61,8 +61,8 @@
     /// # Errors
     ///
     /// Fails when the reader is gone.
-    pub async fn send(&mut self, part: Bytes) -> Result<(), BodyCut> {
-        self.sender.send(Ok(part)).await.map_err(|_| BodyCut)
+    pub async fn send(&mut self, part: Bytes) -> Result<(), BodyTruncated> {
+        self.sender.send(Ok(part)).await.map_err(|_| BodyTruncated)
     }
 
     /// Ends the body.
@@ -80,7 +80,7 @@
     fn drop(&mut self) {
         if !self.finished {
             // A full channel must not hide the cut: the oldest waiting part gives way.
-            let _ = self.sender.force_send(Err(BodyCut));
+            let _ = self.sender.force_send(Err(BodyTruncated));
         }
         self.sender.close();
     }
@@ -88,12 +88,12 @@
 
 impl http_body::Body for Body {
     type Data = Bytes;
-    type Error = BodyCut;
+    type Error = BodyTruncated;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BodyCut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyTruncated>>> {
         match self.get_mut() {
             Body::Full(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
             Body::Parts(receiver) => {
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 
 /// Largest frame accepted or sent.
-pub const FRAME_LIMIT: usize = 1024 * 1024 + 64 * 1024;
+pub const MAX_FRAME_BYTES: usize = 1024 * 1024 + 64 * 1024;
 const PREFIX_BYTES: usize = 4;
 
 /// Encodes `message` as one frame.
@@ -16,8 +16,8 @@
 pub fn encode<T: Serialize>(message: &T) -> Result<Bytes, String> {
     let body = bincode::serde::encode_to_vec(message, bincode::config::standard())
         .map_err(|error| error.to_string())?;
-    if body.len() > FRAME_LIMIT {
-        return Err(format!("frame of {} bytes exceeds {FRAME_LIMIT}", body.len()));
+    if body.len() > MAX_FRAME_BYTES {
+        return Err(format!("frame of {} bytes exceeds {MAX_FRAME_BYTES}", body.len()));
     }
     let mut frame = BytesMut::with_capacity(PREFIX_BYTES + body.len());
     frame.put_u32_le(body.len() as u32);
@@ -35,15 +35,15 @@
         return Ok(None);
     }
     let length = (&buffer[..PREFIX_BYTES]).get_u32_le() as usize;
-    if length > FRAME_LIMIT {
-        return Err(format!("frame of {length} bytes exceeds {FRAME_LIMIT}"));
+    if length > MAX_FRAME_BYTES {
+        return Err(format!("frame of {length} bytes exceeds {MAX_FRAME_BYTES}"));
     }
     if buffer.len() < PREFIX_BYTES + length {
         return Ok(None);
     }
     buffer.advance(PREFIX_BYTES);
     let body = buffer.split_to(length);
-    let config = bincode::config::standard().with_limit::<FRAME_LIMIT>();
+    let config = bincode::config::standard().with_limit::<MAX_FRAME_BYTES>();
     let (message, used) =
         bincode::serde::decode_from_slice(&body, config).map_err(|error| error.to_string())?;
     match used == length {
--- a/crates/wire/src/http_client.rs
+++ b/crates/wire/src/http_client.rs
@@ -22,9 +22,9 @@
 use crate::runtime;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-const IDLE_PER_ADDRESS: usize = 64;
+const MAX_IDLE_PER_ADDRESS: usize = 64;
 /// Largest body that [`HttpClient::exchange`] reads.
-pub const EXCHANGE_LIMIT: usize = 4 * 1024 * 1024;
+pub const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
 
 /// A pool of HTTP/1.1 connections.
 #[derive(Debug, Clone, Default)]
@@ -56,9 +56,11 @@
             match sender.try_send_request(request).await {
                 Ok(response) => {
                     let (head, incoming) = response.into_parts();
-                    let body =
-                        PooledBody { incoming, lease: Some((self.clone(), address, sender)) };
-                    return Ok(Response::from_parts(head, body.released_if_ended()));
+                    let body = PooledBody {
+                        incoming,
+                        connection_slot: Some((self.clone(), address, sender)),
+                    };
+                    return Ok(Response::from_parts(head, body.release_if_ended()));
                 }
                 Err(mut error) => match error.take_message() {
                     // The idle connection was closed before anything was written.
@@ -85,7 +87,7 @@
         let peer = address.to_string();
         runtime::timeout(limit, &peer, async {
             let (head, body) = self.send(address, request).await?.into_parts();
-            let whole = Limited::new(body, EXCHANGE_LIMIT)
+            let whole = Limited::new(body, MAX_RESPONSE_BYTES)
                 .collect()
                 .await
                 .map_err(|error| WireError::new(Step::Receive, peer.as_str(), error))?;
@@ -126,7 +128,7 @@
     fn put_idle(&self, address: SocketAddr, sender: SendRequest<Body>) {
         let mut idle = self.idle.lock();
         let senders = idle.entry(address).or_default();
-        if senders.len() < IDLE_PER_ADDRESS {
+        if senders.len() < MAX_IDLE_PER_ADDRESS {
             senders.push(sender);
         }
     }
@@ -157,11 +159,11 @@
 #[derive(Debug)]
 pub struct PooledBody {
     incoming: Incoming,
-    lease: Option<(HttpClient, SocketAddr, SendRequest<Body>)>,
+    connection_slot: Option<(HttpClient, SocketAddr, SendRequest<Body>)>,
 }
 
 impl PooledBody {
-    fn released_if_ended(mut self) -> Self {
+    fn release_if_ended(mut self) -> Self {
         if self.incoming.is_end_stream() {
             self.release();
         }
@@ -169,7 +171,7 @@
     }
 
     fn release(&mut self) {
-        if let Some((client, address, sender)) = self.lease.take() {
+        if let Some((client, address, sender)) = self.connection_slot.take() {
             client.put_idle(address, sender);
         }
     }
--- a/crates/wire/src/http_server.rs
+++ b/crates/wire/src/http_server.rs
@@ -21,12 +21,12 @@
 use crate::shutdown::Shutdown;
 
 /// Largest request head accepted, in bytes.
-pub const HEAD_LIMIT: usize = 32 * 1024;
+pub const MAX_HEAD_BYTES: usize = 32 * 1024;
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time after the start of a shutdown in which idle connections stay open. Callers learn from the
 /// next response that the connection closes; a request sent on a connection that is just closed
 /// would have an unknown outcome.
-const LINGER: Duration = Duration::from_millis(500);
+const IDLE_GRACE: Duration = Duration::from_millis(500);
 
 /// Answers HTTP requests.
 pub trait HttpService: Send + Sync + 'static {
@@ -89,12 +89,12 @@
     let connection = http1::Builder::new()
         .timer(SmolTimer::new())
         .header_read_timeout(HEAD_TIMEOUT)
-        .max_buf_size(HEAD_LIMIT)
+        .max_buf_size(MAX_HEAD_BYTES)
         .serve_connection(FuturesIo::new(stream), answer);
     let mut connection = std::pin::pin!(connection);
     let ended = future::or(async { Some(connection.as_mut().await) }, async {
         shutdown.wait().await;
-        runtime::sleep(LINGER).await;
+        runtime::sleep(IDLE_GRACE).await;
         None
     });
     let result = match ended.await {
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -21,8 +21,8 @@
 
 /// Time allowed for a TCP connection and the `h2` handshake.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-const STREAM_WINDOW: u32 = 256 * 1024;
-const CONNECTION_WINDOW: u32 = 4 * 1024 * 1024;
+const STREAM_WINDOW_BYTES: u32 = 256 * 1024;
+const CONNECTION_WINDOW_BYTES: u32 = 4 * 1024 * 1024;
 const MAX_STREAMS: u32 = 4096;
 
 /// Connections to other processes, one for each address, opened on first use.
@@ -43,10 +43,10 @@
         kind: &str,
         message: &T,
     ) -> Result<(FrameSender, PendingReceiver), WireError> {
-        self.begin(address, kind, message, false).await
+        self.open_stream(address, kind, message, false).await
     }
 
-    async fn begin<T: Serialize>(
+    async fn open_stream<T: Serialize>(
         &self,
         address: &str,
         kind: &str,
@@ -88,7 +88,7 @@
         let exchange = async {
             // The message ends the stream: the peer may answer, and so close it, before a
             // separate end could be sent.
-            let (_sender, pending) = self.begin(address, kind, message, true).await?;
+            let (_sender, pending) = self.open_stream(address, kind, message, true).await?;
             let mut receiver = pending.receiver().await?;
             match receiver.next().await? {
                 Some(reply) => Ok(reply),
@@ -143,8 +143,8 @@
         let stream = TcpStream::connect(target).await.map_err(|e| fail(e.to_string()))?;
         stream.set_nodelay(true).map_err(|e| fail(e.to_string()))?;
         let (client, connection) = h2::client::Builder::new()
-            .initial_window_size(STREAM_WINDOW)
-            .initial_connection_window_size(CONNECTION_WINDOW)
+            .initial_window_size(STREAM_WINDOW_BYTES)
+            .initial_connection_window_size(CONNECTION_WINDOW_BYTES)
             .max_concurrent_streams(MAX_STREAMS)
             .handshake(Compat::new(stream))
             .await
@@ -184,7 +184,7 @@
         if status == StatusCode::OK {
             return Ok(receiver);
         }
-        let detail = receiver.rest().await;
+        let detail = receiver.read_text().await;
         Err(WireError::new(Step::Receive, receiver.peer, format!("status {status}: {detail}")))
     }
 }
@@ -233,15 +233,15 @@
         let _ = poll_fn(|context| self.stream.poll_reset(context)).await;
     }
 
-    async fn send_bytes(&mut self, mut frame: Bytes, end: bool) -> Result<(), WireError> {
+    async fn send_bytes(&mut self, mut frame: Bytes, end_stream: bool) -> Result<(), WireError> {
         while !frame.is_empty() {
             self.stream.reserve_capacity(frame.len());
-            let room = match self.stream.capacity() {
+            let available = match self.stream.capacity() {
                 0 => self.wait_capacity().await?,
-                room => room,
+                available => available,
             };
-            let part = frame.split_to(room.min(frame.len()));
-            let last = end && frame.is_empty();
+            let part = frame.split_to(available.min(frame.len()));
+            let last = end_stream && frame.is_empty();
             self.stream
                 .send_data(part, last)
                 .map_err(|error| WireError::new(Step::Send, self.peer.as_str(), error))?;
@@ -251,7 +251,7 @@
 
     async fn wait_capacity(&mut self) -> Result<usize, WireError> {
         match poll_fn(|context| self.stream.poll_capacity(context)).await {
-            Some(Ok(room)) => Ok(room),
+            Some(Ok(available)) => Ok(available),
             Some(Err(error)) => Err(WireError::new(Step::Send, self.peer.as_str(), error)),
             None => Err(WireError::new(Step::Send, self.peer.as_str(), "stream closed")),
         }
@@ -289,7 +289,7 @@
                 return Ok(decoded);
             }
             match self.stream.data().await {
-                Some(Ok(part)) => self.take(part),
+                Some(Ok(part)) => self.buffer_data(part),
                 Some(Err(error)) => {
                     return Err(WireError::new(Step::Receive, self.peer.as_str(), error));
                 }
@@ -305,17 +305,17 @@
         }
     }
 
-    fn take(&mut self, part: Bytes) {
+    fn buffer_data(&mut self, part: Bytes) {
         // The window was granted by this side; giving it back fails only on a closed stream.
         let _ = self.stream.flow_control().release_capacity(part.len());
         self.buffer.extend_from_slice(&part);
     }
 
-    async fn rest(&mut self) -> String {
-        const TEXT_LIMIT: usize = 1024;
-        while self.buffer.len() < TEXT_LIMIT {
+    async fn read_text(&mut self) -> String {
+        const MAX_TEXT_BYTES: usize = 1024;
+        while self.buffer.len() < MAX_TEXT_BYTES {
             match self.stream.data().await {
-                Some(Ok(part)) => self.take(part),
+                Some(Ok(part)) => self.buffer_data(part),
                 _ => break,
             }
         }
--- a/crates/wire/src/runtime.rs
+++ b/crates/wire/src/runtime.rs
@@ -13,7 +13,7 @@
 use crate::shutdown::Shutdown;
 
 static EXECUTOR: Executor<'static> = Executor::new();
-static START: OnceLock<Duration> = OnceLock::new();
+static PROCESS_START: OnceLock<Duration> = OnceLock::new();
 
 /// Runs `main` on a pool of `threads` threads and returns its result.
 pub fn run<T>(threads: usize, main: impl Future<Output = T>) -> T {
@@ -43,7 +43,7 @@
 pub fn now() -> Duration {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     let time = Duration::new(time.tv_sec as u64, time.tv_nsec as u32);
-    time.saturating_sub(*START.get_or_init(|| time))
+    time.saturating_sub(*PROCESS_START.get_or_init(|| time))
 }
 
 /// Waits for `duration`.
--- a/crates/wire/src/server.rs
+++ b/crates/wire/src/server.rs
@@ -19,10 +19,10 @@
 use crate::runtime;
 use crate::shutdown::Shutdown;
 
-const STREAM_WINDOW: u32 = 256 * 1024;
-const CONNECTION_WINDOW: u32 = 4 * 1024 * 1024;
+const STREAM_WINDOW_BYTES: u32 = 256 * 1024;
+const CONNECTION_WINDOW_BYTES: u32 = 4 * 1024 * 1024;
 const MAX_STREAMS: u32 = 4096;
-const HEADER_LIMIT: u32 = 16 * 1024;
+const MAX_HEADER_BYTES: u32 = 16 * 1024;
 
 /// Handles the streams that arrive at a [`MessageServer`].
 pub trait Handler: Send + Sync + 'static {
@@ -128,10 +128,10 @@
     let peer = peer.to_string();
     let _ = stream.set_nodelay(true);
     let handshake = h2::server::Builder::new()
-        .initial_window_size(STREAM_WINDOW)
-        .initial_connection_window_size(CONNECTION_WINDOW)
+        .initial_window_size(STREAM_WINDOW_BYTES)
+        .initial_connection_window_size(CONNECTION_WINDOW_BYTES)
         .max_concurrent_streams(MAX_STREAMS)
-        .max_header_list_size(HEADER_LIMIT)
+        .max_header_list_size(MAX_HEADER_BYTES)
         .handshake::<_, Bytes>(Compat::new(stream));
     let mut connection = match handshake.await {
         Ok(connection) => connection,
--- a/crates/wire/tests/frame.rs
+++ b/crates/wire/tests/frame.rs
@@ -3,7 +3,7 @@
 
 use bytes::{BufMut, BytesMut};
 use peridotfold_core::message::request::{BodyFrame, Cancel, RequestId};
-use peridotfold_wire::frame::{decode, encode, FRAME_LIMIT};
+use peridotfold_wire::frame::{decode, encode, MAX_FRAME_BYTES};
 
 fn cancel() -> Cancel {
     Cancel { id: RequestId { entry: "e1".into(), incarnation: 7, number: 9 } }
@@ -24,7 +24,7 @@
 #[test]
 fn oversized_length_is_rejected_before_the_body_arrives() {
     let mut buffer = BytesMut::new();
-    buffer.put_u32_le(FRAME_LIMIT as u32 + 1);
+    buffer.put_u32_le(MAX_FRAME_BYTES as u32 + 1);
     assert!(decode::<Cancel>(&mut buffer).is_err());
 }
 
--- a/crates/wire/tests/http_client.rs
+++ b/crates/wire/tests/http_client.rs
@@ -42,8 +42,8 @@
 fn connection_is_used_again_only_after_its_body_was_read() {
     runtime::start_threads(2);
     smol::block_on(async {
-        let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        let server = HttpServer::bind(any).await.expect("server");
+        let any_address = SocketAddr::from(([127, 0, 0, 1], 0));
+        let server = HttpServer::bind(any_address).await.expect("server");
         let address = server.address();
         let (_trigger, stop) = shutdown::channel();
         let pages = Arc::new(Pages::default());
--- a/crates/wire/tests/http_server.rs
+++ b/crates/wire/tests/http_server.rs
@@ -40,9 +40,9 @@
 }
 
 /// Stops a server that is under load; returns the errors of requests that may have run.
-async fn cut_by_shutdown() -> Vec<String> {
-    let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let server = HttpServer::bind(any).await.expect("server");
+async fn requests_cut_by_shutdown() -> Vec<String> {
+    let any_address = SocketAddr::from(([127, 0, 0, 1], 0));
+    let server = HttpServer::bind(any_address).await.expect("server");
     let address = server.address();
     let (trigger, stop) = shutdown::channel();
     let serving = runtime::spawn(server.serve(Arc::new(Pages), stop));
@@ -51,15 +51,15 @@
         (0..CLIENTS).map(|_| runtime::spawn(send_all(client.clone(), address))).collect();
     client.simple(address, Method::GET, "/", "", LIMIT).await.expect("an answer");
     trigger.fire();
-    let mut cut = Vec::new();
+    let mut truncated = Vec::new();
     for sender in clients {
         let error = sender.await;
         if !error.is_not_sent() {
-            cut.push(error.to_string());
+            truncated.push(error.to_string());
         }
     }
     serving.await;
-    cut
+    truncated
 }
 
 /// Guards against a shutdown that closes a connection on which a request has just been sent: its
@@ -69,14 +69,20 @@
 fn a_shutdown_under_load_cuts_no_request() {
     runtime::start_threads(4);
     smol::block_on(async {
-        let mut cut = Vec::new();
+        let mut truncated = Vec::new();
         for _ in 0..ROUNDS / PARALLEL {
-            let rounds: Vec<_> = (0..PARALLEL).map(|_| runtime::spawn(cut_by_shutdown())).collect();
+            let rounds: Vec<_> =
+                (0..PARALLEL).map(|_| runtime::spawn(requests_cut_by_shutdown())).collect();
             for round in rounds {
-                cut.extend(round.await);
+                truncated.extend(round.await);
             }
         }
-        assert!(cut.is_empty(), "{} requests were cut: {:?}", cut.len(), cut.first());
+        assert!(
+            truncated.is_empty(),
+            "{} requests were cut: {:?}",
+            truncated.len(),
+            truncated.first()
+        );
     });
 }
 
@@ -102,8 +108,8 @@
     runtime::start_threads(4);
     smol::block_on(async {
         for _ in 0..CONNECTING_ROUNDS {
-            let any = SocketAddr::from(([127, 0, 0, 1], 0));
-            let server = HttpServer::bind(any).await.expect("server");
+            let any_address = SocketAddr::from(([127, 0, 0, 1], 0));
+            let server = HttpServer::bind(any_address).await.expect("server");
             let address = server.address();
             let (trigger, stop) = shutdown::channel();
             let serving = runtime::spawn(server.serve(Arc::new(Pages), stop));
