--- a/crates/store/src/http.rs
+++ b/crates/store/src/http.rs
@@ -1,4 +1,4 @@
-//! The platform's store over HTTP.
+//! HTTP client of the platform's key-value store.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,9 +11,10 @@
 
 use crate::{PutOutcome, Store, StoreError, Versioned, MAX_VALUE_BYTES};
 
+/// Response header that carries the version of the returned value.
 const VERSION_HEADER: &str = "x-version";
 
-/// Client of the store at one address.
+/// Client of the key-value store at one address.
 #[derive(Debug, Clone)]
 pub struct HttpStore {
     client: HttpClient,
@@ -21,20 +22,23 @@
     timeout: Duration,
 }
 
+/// JSON body of a response to a put.
 #[derive(Deserialize)]
 struct PutResponse {
     version: u64,
 }
 
+/// One entry of the index that precedes the values in a response to a list request.
 #[derive(Deserialize)]
 struct ListEntry {
     key: String,
     version: u64,
+    /// Size of the value, in bytes.
     length: usize,
 }
 
 impl HttpStore {
-    /// Builds a client whose calls take at most `timeout`, in addition to the wait of a watch.
+    /// Builds a client whose calls time out after `timeout`. A watch may take its wait time on top.
     pub fn new(address: SocketAddr, timeout: Duration) -> Self {
         HttpStore { client: HttpClient::default(), address, timeout }
     }
@@ -47,11 +51,13 @@
         self.error(Step::Decode, detail)
     }
 
+    /// Returns an error with the status and the first 200 bytes of a response.
     fn status_error(&self, response: &Response<Bytes>) -> StoreError {
         let text = String::from_utf8_lossy(&response.body()[..response.body().len().min(200)]);
         self.error(Step::Receive, format!("status {}: {text}", response.status()))
     }
 
+    /// Sends one request and counts its result in `store_calls_total`.
     async fn call(
         &self,
         kind: &'static str,
@@ -62,10 +68,12 @@
     ) -> Result<Response<Bytes>, StoreError> {
         let result = match is_unescaped(&path) {
             true => self.client.simple(self.address, method, &path, body, call_timeout).await,
-            // Such a key would need escapes, and the project's names need none.
+            // Such a path would need percent-encoding, which no key of this project requires.
             false => {
                 count_call(kind, "invalid");
-                return Err(self.error(Step::Connect, format!("key with other characters: {path}")));
+                return Err(
+                    self.error(Step::Connect, format!("unsupported character in the path {path}"))
+                );
             }
         };
         let label = match &result {
@@ -79,25 +87,29 @@
         Ok(result?)
     }
 
+    /// Returns the body of a response with the version from its header.
     fn parse_versioned(&self, response: Response<Bytes>) -> Result<Versioned, StoreError> {
         let version = response
             .headers()
             .get(VERSION_HEADER)
             .and_then(|value| value.to_str().ok())
             .and_then(|text| text.parse().ok())
-            .ok_or_else(|| self.decode_error("the version is missing"))?;
+            .ok_or_else(|| self.decode_error("the version header is missing or malformed"))?;
         Ok(Versioned { version, value: response.into_body() })
     }
 }
 
+/// Adds one to the counter of store calls.
 fn count_call(kind: &'static str, result: &'static str) {
     metrics::counter!("store_calls_total", "kind" => kind, "result" => result).increment(1);
 }
 
+/// Tells whether a path has only characters that need no percent-encoding.
 fn is_unescaped(path: &str) -> bool {
     path.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"/-_.~:@?=&".contains(&byte))
 }
 
+/// Tells whether a key is non-empty and free of the separators of a query string.
 fn is_valid_key(key: &str) -> bool {
     !key.is_empty() && !key.contains(['?', '&', '='])
 }
@@ -115,9 +127,13 @@
 
     async fn put(&self, key: &str, expect: u64, value: Bytes) -> Result<PutOutcome, StoreError> {
         match value.len() {
-            _ if !is_valid_key(key) => return Err(self.error(Step::Connect, "malformed key")),
+            _ if !is_valid_key(key) => {
+                return Err(self.error(Step::Connect, "empty key, or key with `?`, `&` or `=`"))
+            }
             length if length > MAX_VALUE_BYTES => {
-                return Err(self.error(Step::Connect, format!("value of {length} bytes")))
+                return Err(
+                    self.error(Step::Connect, format!("value of {length} bytes is too large"))
+                )
             }
             _ => {}
         }
@@ -139,7 +155,7 @@
         let response =
             self.call("delete", Method::DELETE, path, Bytes::new(), self.timeout).await?;
         match response.status() {
-            // The body is parsed so that a cut response is not taken for success.
+            // Parsing the body detects a truncated response, which must not count as success.
             StatusCode::OK => serde_json::from_slice::<serde_json::Value>(response.body())
                 .map(|_| ())
                 .map_err(|error| self.decode_error(error)),
@@ -155,14 +171,14 @@
         }
         let mut values = response.into_body();
         let line = values.iter().position(|byte| *byte == b'\n');
-        let line = line.ok_or_else(|| self.decode_error("the index is missing"))?;
+        let line = line.ok_or_else(|| self.decode_error("the list has no index line"))?;
         let index = values.split_to(line + 1);
         let index: Vec<ListEntry> =
             serde_json::from_slice(&index).map_err(|error| self.decode_error(error))?;
         let mut found = Vec::with_capacity(index.len());
         for ListEntry { key, version, length } in index {
             if values.len() < length {
-                return Err(self.decode_error("a value is cut"));
+                return Err(self.decode_error("a value in the list is truncated"));
             }
             found.push((key, Versioned { version, value: values.split_to(length) }));
         }
--- a/crates/store/src/journal.rs
+++ b/crates/store/src/journal.rs
@@ -1,7 +1,17 @@
-//! A replayed log in the store, with one record order for all writers.
+//! Replicated state machine whose log is kept in the key-value store.
 //!
-//! See section 3.2 of `docs/design.md`. A write to the log is conditional on the version that the
-//! writer has replayed; whoever writes first fences off all others until they replay again.
+//! See section 3.2 of `docs/design.md`. All writers share one order of records. A write to the log
+//! is conditional on the store version of the log that the writer has replayed, so the first of
+//! several concurrent writes succeeds and fences off the other writers until they replay again.
+//!
+//! Terms used throughout the module:
+//!
+//! - A *record* is one change of the state. Its *sequence number* counts from 1.
+//! - A *batch* is the group of records that one append commits in one write.
+//! - A *snapshot* is the state after a given record. A *rotation* writes a snapshot and then
+//!   replaces the log by one that holds only newer batches.
+//! - A *segment* is an archived log with the state before its first record.
+//! - An append is *pending* while its outcome is unknown, and *resolving* it finds the outcome.
 
 pub mod archive;
 pub(crate) mod format;
@@ -15,62 +25,70 @@
 use self::format::{decode, decode_state, encode, Batch, BatchId, Log, Snapshot};
 use crate::{PutOutcome, Store, StoreError, MAX_VALUE_BYTES};
 
-/// Size at which the log is folded into a snapshot. It bounds the bytes that each append rewrites.
+/// Log size in bytes above which the log is rotated. Each append rewrites the whole log.
 pub const MAX_LOG_BYTES: usize = 32 * 1024;
-/// Writes of one append before its outcome is left unknown.
+/// Maximum number of writes to commit or resolve one append before its outcome is left unknown.
 const MAX_ATTEMPTS: usize = 3;
-/// Batches whose writers a snapshot remembers, for resolving lost responses after a rotation.
+/// Maximum number of batch IDs in a snapshot. They resolve appends whose response was lost before
+/// a rotation.
 const MAX_BATCH_IDS: usize = 256;
 
-/// A state that is built from records.
+/// A state that is the result of applying records in order.
 pub trait Replay: Default + Clone + Serialize + DeserializeOwned + Send {
     /// A change of the state.
     type Record: Serialize + DeserializeOwned + Send;
 
-    /// Applies a committed record. It has to give the same result in each process.
+    /// Applies a committed record. The result must be deterministic, so that all processes agree.
     fn apply(&mut self, record: &Self::Record);
 }
 
-/// A failed operation of a journal.
+/// Reason why a journal operation failed.
 #[derive(Debug, Clone)]
 pub enum JournalError {
-    /// Another writer was first; nothing of the append was committed. [`Journal::refresh`] makes
-    /// appending possible again.
+    /// Another writer changed the log first, and no record of the append was committed.
+    /// [`Journal::refresh`] replays the log, after which the caller can append again.
     Fenced,
-    /// The store did not answer. After an append, [`Journal::is_unresolved`] tells whether the
+    /// A call of the store failed. After an append, [`Journal::is_unresolved`] tells whether the
     /// outcome is unknown.
     Unavailable(StoreError),
-    /// The records or the state do not fit a value of the store; nothing was committed.
+    /// The records or the state exceed [`MAX_VALUE_BYTES`]; no record was committed.
     TooLarge,
-    /// The store holds something that this version cannot read.
+    /// The value of `key` is malformed or has an unknown format.
     Corrupt { key: String, detail: String },
-    /// Others wrote so much since that the outcome of an append cannot be found any more.
+    /// The outcome of an append cannot be determined: other writers have since committed more
+    /// batches than a snapshot remembers.
     Undetermined,
 }
 
 impl fmt::Display for JournalError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            JournalError::Fenced => f.write_str("another writer was first"),
+            JournalError::Fenced => f.write_str("another writer changed the log first"),
             JournalError::Unavailable(error) => write!(f, "the store is unavailable: {error}"),
-            JournalError::TooLarge => f.write_str("larger than a value of the store"),
+            JournalError::TooLarge => {
+                f.write_str("the records or the state exceed the value size limit of the store")
+            }
             JournalError::Corrupt { key, detail } => {
                 write!(f, "malformed value of {key}: {detail}")
             }
-            JournalError::Undetermined => f.write_str("the outcome cannot be found any more"),
+            JournalError::Undetermined => {
+                f.write_str("the outcome of the append can no longer be determined")
+            }
         }
     }
 }
 
 impl std::error::Error for JournalError {}
 
-/// An append whose outcome is not known yet.
+/// An append whose outcome is unknown.
 #[derive(Debug)]
 struct PendingAppend<T> {
-    /// Sequence of its first record.
+    /// Sequence number of its first record.
     first: u64,
+    /// Number of the batch among those of this writer.
     number: u64,
     records: Vec<T>,
+    /// The records in encoded form.
     encoded: Vec<Bytes>,
     /// The log after the append, and its encoded form.
     log: Log,
@@ -79,31 +97,35 @@
     was_attempted: bool,
 }
 
-/// A journal as one process has replayed it.
+/// One process's replayed copy of a journal.
 #[derive(Debug)]
 pub struct Journal<S: Store, R: Replay> {
     store: S,
     name: String,
     log_key: String,
+    /// Unique ID of this writer.
     writer: u64,
+    /// Number of the last batch of this writer.
     number: u64,
     is_archived: bool,
     state: R,
+    /// Sequence number of the last record in `state`.
     sequence: u64,
+    /// Store version of `log`; 0 if the log does not exist yet.
     log_version: u64,
     log: Log,
-    /// Tags of the batches before the log.
+    /// IDs of the last batches before the first one of `log`, oldest first.
     recent_batches: Vec<BatchId>,
     pending: Option<PendingAppend<R::Record>>,
 }
 
 impl<S: Store, R: Replay> Journal<S, R> {
-    /// Replays the journal `name`. Nothing is written: a new owner fences off its predecessor by
-    /// its first append. `writer` must be different for each process and start.
+    /// Opens and replays the journal `name`. Opening writes nothing: a new owner fences off its
+    /// predecessor by its first append. `writer` must be unique to each start of each process.
     ///
     /// # Errors
     ///
-    /// Fails when the store does not answer or holds something malformed.
+    /// Fails when the store is unavailable or holds a malformed value.
     pub async fn open(store: S, name: &str, writer: u64) -> Result<Self, JournalError> {
         let mut journal = Journal {
             store,
@@ -123,29 +145,29 @@
         Ok(journal)
     }
 
-    /// Keeps former logs, so that [`archive::past`] finds older states. All writers of a journal
-    /// have to agree on it.
+    /// Archives each log at its rotation, so that [`archive::state_at`] can return older states. All
+    /// writers of a journal must use the same setting.
     pub fn with_archive(mut self) -> Self {
         self.is_archived = true;
         self
     }
 
-    /// State after the last record known to be committed.
+    /// Returns the state after the last record that is known to be committed.
     pub fn state(&self) -> &R {
         &self.state
     }
 
-    /// Number of records in [`Journal::state`].
+    /// Returns the sequence number of the last record applied to [`Journal::state`].
     pub fn sequence(&self) -> u64 {
         self.sequence
     }
 
-    /// Store version of the log as replayed; a watch after it reports the next change.
+    /// Returns the store version of the replayed log; a watch after it reports the next change.
     pub fn log_version(&self) -> u64 {
         self.log_version
     }
 
-    /// Key of the log in the store.
+    /// Returns the key of the log in the store.
     pub fn log_key(&self) -> &str {
         &self.log_key
     }
@@ -155,11 +177,11 @@
         self.pending.is_some()
     }
 
-    /// Commits records, all or none, in one write.
+    /// Commits records atomically, in one write.
     ///
-    /// After [`JournalError::Unavailable`] the outcome may be unknown. A further append that begins
-    /// with the same records continues that attempt, so that repeating it commits them once. Any
-    /// other append first finds out, as [`Journal::resolve`] does, and then adds its records.
+    /// After [`JournalError::Unavailable`] the outcome may be unknown. A later append that begins
+    /// with the same records retries the pending one, so each record is committed only once. Any
+    /// other append first resolves the pending one, as [`Journal::resolve`] does.
     ///
     /// # Errors
     ///
@@ -188,6 +210,7 @@
         }
     }
 
+    /// Commits a new batch, after a rotation if the log would exceed [`MAX_LOG_BYTES`].
     async fn append_new(
         &mut self,
         records: Vec<R::Record>,
@@ -224,6 +247,7 @@
         self.write_pending().await
     }
 
+    /// Saves a snapshot of the current state, and archives the log if the journal has an archive.
     async fn rotate(&mut self) -> Result<(), JournalError> {
         let key = archive::snapshot_key(&self.name);
         let snapshot = Snapshot {
@@ -235,7 +259,7 @@
         archive::rotate(&self.store, &self.name, &self.log, &snapshot, self.is_archived).await
     }
 
-    /// Writes the pending append until its outcome is known or the tries are used up.
+    /// Writes the pending append until its outcome is known or the attempts are used up.
     async fn write_pending(&mut self) -> Result<(), JournalError> {
         let mut attempts = 0;
         loop {
@@ -261,8 +285,8 @@
                     if self.is_log_changed().await? {
                         return self.check_outcome().await;
                     }
-                    // The write may still be under way. The same write again is harmless: at most
-                    // one of them finds the expected version.
+                    // The write may still be in flight. Repeating it is safe: at most one of the
+                    // writes finds the expected version.
                     if attempts == MAX_ATTEMPTS {
                         return Err(JournalError::Unavailable(error));
                     }
@@ -271,11 +295,13 @@
         }
     }
 
+    /// Tells whether the log in the store has another version than the replayed one.
     async fn is_log_changed(&mut self) -> Result<bool, JournalError> {
         let found = self.store.get(&self.log_key).await.map_err(JournalError::Unavailable)?;
         Ok(found.map_or(0, |found| found.version) != self.log_version)
     }
 
+    /// Applies the pending append after it was committed as `version` of the log.
     fn apply_pending(&mut self, version: u64) {
         let Some(pending) = self.pending.take() else { return };
         for record in &pending.records {
@@ -286,6 +312,7 @@
         self.replace_log(pending.log);
     }
 
+    /// Replaces the local log and remembers the IDs of the batches that it no longer holds.
     fn replace_log(&mut self, log: Log) {
         let removed: Vec<BatchId> =
             self.log.batch_ids().filter(|batch_id| batch_id.first < log.first).collect();
@@ -293,7 +320,8 @@
         self.log = log;
     }
 
-    /// Finds out whether the pending append was committed, after the log has changed.
+    /// Replays the log, which has changed, and checks whether it holds the pending append. Returns
+    /// [`JournalError::Fenced`] if the append was not committed.
     async fn check_outcome(&mut self) -> Result<(), JournalError> {
         self.replay_new().await?;
         let Some(pending) = self.pending.take() else { return Ok(()) };
@@ -309,12 +337,12 @@
         }
     }
 
-    /// Ends the uncertainty about an append: tells whether it was committed, and makes sure that it
-    /// will not be if it was not.
+    /// Determines the outcome of the pending append. Returns whether it was committed; if not, its
+    /// write can no longer take effect.
     ///
     /// # Errors
     ///
-    /// On [`JournalError::Unavailable`] the outcome stays unknown.
+    /// After [`JournalError::Unavailable`] the outcome is still unknown.
     pub async fn resolve(&mut self) -> Result<bool, JournalError> {
         let mut failure = JournalError::Fenced;
         for _ in 0..MAX_ATTEMPTS {
@@ -328,7 +356,8 @@
                     Err(error) => Err(error),
                 };
             }
-            // The write may still be under way; a new version makes it fail.
+            // The write may still be in flight; rewriting the same log under a new version makes it
+            // fail.
             let unchanged = encode(&self.log_key, &self.log)?;
             match self.store.put(&self.log_key, self.log_version, unchanged).await {
                 Ok(PutOutcome::Written(version)) => {
@@ -343,11 +372,12 @@
         Err(failure)
     }
 
-    /// Replays what others have committed; tells whether the state changed.
+    /// Resolves a pending append and replays the records that other writers committed. Returns
+    /// whether the state changed.
     ///
     /// # Errors
     ///
-    /// Fails when the store does not answer or holds something malformed.
+    /// Fails when the store is unavailable or holds a malformed value.
     pub async fn refresh(&mut self) -> Result<bool, JournalError> {
         let before = self.sequence;
         self.resolve().await?;
@@ -355,6 +385,7 @@
         Ok(self.sequence != before)
     }
 
+    /// Applies the records that were committed since the last replay.
     async fn replay_new(&mut self) -> Result<(), JournalError> {
         let found = self.store.get(&self.log_key).await.map_err(JournalError::Unavailable)?;
         let Some(found) = found.filter(|found| found.version > self.log_version) else {
@@ -369,6 +400,7 @@
         Ok(())
     }
 
+    /// Rebuilds the state from the snapshot and the log.
     async fn replay_all(&mut self) -> Result<(), JournalError> {
         let (version, log, snapshot) = archive::read(&self.store, &self.name).await?;
         let state: R = decode_state(&archive::snapshot_key(&self.name), &snapshot.state)?;
@@ -381,6 +413,7 @@
         Ok(())
     }
 
+    /// Decodes the records of a log after `sequence`.
     fn decode_after(&self, log: &Log, sequence: u64) -> Result<Vec<R::Record>, JournalError> {
         log.records()
             .filter(|(number, _)| *number > sequence)
@@ -388,6 +421,7 @@
             .collect()
     }
 
+    /// Applies newly read records and adopts the log that holds them.
     fn apply_log(&mut self, version: u64, log: Log, records: Vec<R::Record>) {
         for record in &records {
             self.state.apply(record);
@@ -398,6 +432,7 @@
     }
 }
 
+/// Returns the last [`MAX_BATCH_IDS`] of the older and the newer IDs, without duplicates.
 fn latest_ids(older: &[BatchId], newer: impl IntoIterator<Item = BatchId>) -> Vec<BatchId> {
     let mut batch_ids = older.to_vec();
     let after = batch_ids.last().map_or(0, |batch_id| batch_id.first);
--- a/crates/store/src/journal/archive.rs
+++ b/crates/store/src/journal/archive.rs
@@ -1,4 +1,4 @@
-//! Snapshots, archived segments, and states of the past.
+//! Snapshots and archived segments of a journal, and reads of earlier states.
 
 use bytes::Bytes;
 
@@ -6,25 +6,32 @@
 use crate::journal::{JournalError, Replay};
 use crate::{PutOutcome, Store, StoreError, Versioned, MAX_VALUE_BYTES};
 
+/// Maximum number of writes of one snapshot or segment.
 const MAX_ATTEMPTS: usize = 4;
-/// Reads of log and snapshot that may meet a rotation in between before the reader gives up.
+/// Maximum number of reads of log and snapshot before the reader gives up. A read is repeated when
+/// a rotation takes place between log and snapshot.
 const MAX_READS: usize = 8;
-/// Segments of 32 KB kept for looking up the past; about three days at 20,000 changes of 500 bytes
-/// a day.
+/// Number of archived segments to keep. At 32 KB each they last about three days with 20,000 changes
+/// of 500 bytes a day.
 const MAX_SEGMENTS: usize = 1024;
 
+/// Returns the store key of a journal's log.
 pub(crate) fn log_key(name: &str) -> String {
     format!("{name}/log")
 }
 
+/// Returns the store key of a journal's snapshot.
 pub(crate) fn snapshot_key(name: &str) -> String {
     format!("{name}/snap")
 }
 
+/// Returns the store key of the segment whose first record has the sequence number `first`.
 pub(crate) fn segment_key(name: &str, first: u64) -> String {
     format!("{name}/archive/{first}")
 }
 
+/// Decodes a value and returns it with its version. An absent key has the default value and
+/// version 0.
 fn decode_or_default<T>(key: &str, found: Option<Versioned>) -> Result<(u64, T), JournalError>
 where
     T: Default + serde::de::DeserializeOwned,
@@ -35,8 +42,8 @@
     }
 }
 
-/// Reads log and snapshot. The log is read first: a snapshot never gets older, so it reaches up to
-/// the log's first record.
+/// Reads log and snapshot. The log is read first: snapshots are only replaced by newer ones, so the
+/// snapshot includes every record before the log.
 pub(crate) async fn read<S: Store>(
     store: &S,
     name: &str,
@@ -52,7 +59,7 @@
                 format!("ends at {}, but the log begins at {}", snapshot.sequence, log.first);
             return Err(JournalError::Corrupt { key: snapshot_key, detail });
         }
-        // A snapshot beyond the log shows that the log was rotated after it was read.
+        // A snapshot newer than the log means that the log was rotated after it was read.
         if log.last() >= snapshot.sequence {
             return Ok((version, log, snapshot));
         }
@@ -60,8 +67,9 @@
     Err(JournalError::Corrupt { key: log_key, detail: "ends before the snapshot".into() })
 }
 
-/// Writes `value` to a key until what it holds satisfies `is_done`. Each write is conditional on
-/// what was read, so a paused writer never replaces something newer.
+/// Writes the result of `make_value`, which receives the stored value, until the write succeeds or
+/// `make_value` returns `None`. Each write is conditional on the version read, so a writer that was
+/// paused never replaces a newer value.
 async fn write_conditionally<S, F>(
     store: &S,
     key: &str,
@@ -84,12 +92,14 @@
             Err(error) => failure = Some(error),
         }
     }
-    let other =
-        || StoreError::new(peridotfold_wire::error::Step::Receive, key, "repeated conflicts");
+    let other = || {
+        StoreError::new(peridotfold_wire::error::Step::Receive, key, "repeated version conflicts")
+    };
     Err(JournalError::Unavailable(failure.unwrap_or_else(other)))
 }
 
-/// Saves the snapshot of a log that is about to be cleared, and archives the log if asked to.
+/// Saves the snapshot that replaces `log`, and first archives the log if `is_archived` is set.
+/// Deletes the oldest segments beyond [`MAX_SEGMENTS`].
 pub(crate) async fn rotate<S: Store>(
     store: &S,
     name: &str,
@@ -124,8 +134,9 @@
     Ok(())
 }
 
-/// Archives a log; tells whether its segment is complete. A segment written by a process that
-/// stopped before the rotation is replaced if it is shorter.
+/// Archives a log as a segment. Returns `false` if that is impossible because the state before the
+/// log is no longer known. A shorter segment, left by a process that stopped during a rotation, is
+/// replaced.
 async fn archive<S: Store>(
     store: &S,
     name: &str,
@@ -156,12 +167,12 @@
     Ok(is_complete)
 }
 
-/// Returns the state after the record `sequence` and that record, or `None` if the record does not
-/// exist or is no longer kept. Record 0 is the default state.
+/// Returns the record with the number `sequence` and the state after it, or `None` if that record
+/// does not exist or is no longer kept. Sequence number 0 yields the default state and no record.
 ///
 /// # Errors
 ///
-/// Fails when the store does not answer or holds something malformed.
+/// Fails when the store is unavailable or holds a malformed value.
 pub async fn state_at<S: Store, R: Replay>(
     store: &S,
     name: &str,
@@ -192,6 +203,8 @@
     }
 }
 
+/// Applies the records of `log` up to `sequence` to the encoded `base_state`, the state after the
+/// record `base_sequence`. Returns the state and the last record applied.
 fn replay<R: Replay>(
     key: &str,
     base_state: &[u8],
--- a/crates/store/src/journal/format.rs
+++ b/crates/store/src/journal/format.rs
@@ -1,4 +1,4 @@
-//! Values that a journal keeps in the store.
+//! Binary format of the values that a journal keeps in the store.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use serde::de::DeserializeOwned;
@@ -6,18 +6,21 @@
 
 use crate::journal::JournalError;
 
-/// First byte of each value, so that a later format can be told from this one.
+/// Version of the format, the first byte of each value.
 const FORMAT_VERSION: u8 = 1;
 
-/// Records that were committed by one write.
+/// Records committed by one append.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Batch {
     pub writer: u64,
+    /// Number of the batch among those of its writer.
     pub number: u64,
+    /// Encoded records.
     pub records: Vec<Bytes>,
 }
 
-/// Writer and number of the batch whose first record has this sequence.
+/// Identifies a batch by its writer, its number among those of the writer, and the sequence number
+/// of its first record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct BatchId {
     pub first: u64,
@@ -28,7 +31,7 @@
 /// Value of `<name>/log`: the batches since the last rotation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Log {
-    /// Sequence of the first record.
+    /// Sequence number of the first record.
     pub first: u64,
     pub batches: Vec<Batch>,
 }
@@ -40,18 +43,18 @@
 }
 
 impl Log {
-    /// Sequence of the last record, or of the one before `first`.
+    /// Returns the sequence number of the last record, or `first` - 1 if the log is empty.
     pub fn last(&self) -> u64 {
         let count: usize = self.batches.iter().map(|batch| batch.records.len()).sum();
         self.first + count as u64 - 1
     }
 
-    /// Returns all records with their sequences.
+    /// Returns the encoded records with their sequence numbers.
     pub fn records(&self) -> impl Iterator<Item = (u64, &Bytes)> {
         (self.first..).zip(self.batches.iter().flat_map(|batch| &batch.records))
     }
 
-    /// Returns the tag of each batch.
+    /// Returns the ID of each batch.
     pub fn batch_ids(&self) -> impl Iterator<Item = BatchId> + '_ {
         self.batches.iter().scan(self.first, |next, batch| {
             let first = *next;
@@ -61,25 +64,26 @@
     }
 }
 
-/// Value of `<name>/snap`: the state after the record `sequence`.
+/// Value of `<name>/snap`: the state after the record with the number `sequence`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Snapshot {
     pub sequence: u64,
     /// Encoded state; empty for the default state.
     pub state: Bytes,
-    /// Tags of the last batches up to `sequence`.
+    /// IDs of the last batches up to `sequence`, oldest first.
     pub recent_batches: Vec<BatchId>,
-    /// First sequence of each archived segment, in order.
+    /// Sequence number of the first record of each archived segment, in ascending order.
     pub segments: Vec<u64>,
 }
 
-/// Value of `<name>/archive/<first>`: a former log and the state before it.
+/// Value of `<name>/archive/<first>`: an archived log and the encoded state before it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Segment {
     pub base_state: Bytes,
     pub log: Log,
 }
 
+/// Encodes a value with the format version before it.
 pub(crate) fn encode<T: Serialize>(key: &str, value: &T) -> Result<Bytes, JournalError> {
     let mut buffer = BytesMut::new().writer();
     buffer.get_mut().put_u8(FORMAT_VERSION);
@@ -88,22 +92,23 @@
     Ok(buffer.into_inner().freeze())
 }
 
+/// Decodes a value of the current format version; trailing bytes are an error.
 pub(crate) fn decode<T: DeserializeOwned>(key: &str, value: &[u8]) -> Result<T, JournalError> {
     let corrupt = |detail: String| JournalError::Corrupt { key: key.into(), detail };
     let content = match value.split_first() {
         Some((&FORMAT_VERSION, content)) => content,
-        Some((format, _)) => return Err(corrupt(format!("unknown format {format}"))),
+        Some((format, _)) => return Err(corrupt(format!("unknown format version {format}"))),
         None => return Err(corrupt("empty value".into())),
     };
     let (decoded, length) = bincode::serde::decode_from_slice(content, bincode::config::standard())
         .map_err(|error| corrupt(error.to_string()))?;
     match length == content.len() {
         true => Ok(decoded),
-        false => Err(corrupt(format!("{} bytes after the end", content.len() - length))),
+        false => Err(corrupt(format!("{} trailing bytes", content.len() - length))),
     }
 }
 
-/// Decodes a state; an empty text is the default one.
+/// Decodes a state; no bytes stand for the default state.
 pub(crate) fn decode_state<R>(key: &str, state: &[u8]) -> Result<R, JournalError>
 where
     R: DeserializeOwned + Default,
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,4 +1,5 @@
-//! Client of the platform's key-value store, the journal and the configuration repository.
+//! Client of the platform's key-value store, and two layers on top of the store: a journal with a
+//! replicated state, and a repository of configuration versions.
 
 pub mod http;
 pub mod journal;
@@ -15,41 +16,43 @@
 pub use crate::journal::{Journal, JournalError, Replay};
 pub use crate::repository::{ConfigRepository, SubmitError};
 
-/// Largest value that the store holds, in bytes.
+/// Maximum size of a value in the store, in bytes.
 pub const MAX_VALUE_BYTES: usize = 1024 * 1024;
 
-/// A value with its version. Versions of a key only rise.
+/// A value with its version. The version of a key increases with each write, also after the key was
+/// deleted.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Versioned {
     pub version: u64,
     pub value: Bytes,
 }
 
-/// Result of a write that the store answered.
+/// Outcome of a conditional write that the store answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PutOutcome {
-    /// Written; the version after.
+    /// The value was written; holds its new version.
     Written(u64),
-    /// Not written; the version found, 0 if the key is absent.
+    /// The expected version did not match; holds the current version, 0 if the key is absent.
     Conflict(u64),
 }
 
-/// A failed call of the store. The outcome of a write that failed is unknown, except as
-/// [`StoreError::is_not_sent`] tells.
+/// Reason why a call of the store failed. A failed write may have taken effect unless
+/// [`StoreError::is_not_sent`] returns true.
 #[derive(Debug, Clone)]
 pub struct StoreError {
     pub step: Step,
+    /// Address of the store.
     pub peer: String,
     pub detail: String,
 }
 
 impl StoreError {
-    /// Builds an error from its parts.
+    /// Builds an error for a call to `peer` that failed at `step`.
     pub fn new(step: Step, peer: impl Into<String>, detail: impl fmt::Display) -> Self {
         StoreError { step, peer: peer.into(), detail: detail.to_string() }
     }
 
-    /// Tells whether the call certainly did not reach the store.
+    /// Tells whether the request is known not to have reached the store.
     pub fn is_not_sent(&self) -> bool {
         self.step == Step::Connect
     }
@@ -69,12 +72,12 @@
     }
 }
 
-/// The platform's key-value store.
+/// A key-value store with versioned values and conditional writes.
 pub trait Store: Clone + Send + Sync + 'static {
-    /// Returns a key's value, or `None` if it is absent.
+    /// Returns the value of a key, or `None` if the key is absent.
     fn get(&self, key: &str) -> impl Future<Output = Result<Option<Versioned>, StoreError>> + Send;
 
-    /// Writes a key if its version is `expect`; 0 means that it must not exist.
+    /// Writes a value if the version of the key is `expect`; 0 means that the key must be absent.
     fn put(
         &self,
         key: &str,
@@ -82,16 +85,17 @@
         value: Bytes,
     ) -> impl Future<Output = Result<PutOutcome, StoreError>> + Send;
 
-    /// Removes a key. It is no error if the key is absent.
+    /// Deletes a key. Deleting an absent key succeeds.
     fn delete(&self, key: &str) -> impl Future<Output = Result<(), StoreError>> + Send;
 
-    /// Returns the keys that start with `prefix`, in order.
+    /// Returns the keys that start with `prefix` and their values, sorted by key.
     fn list(
         &self,
         prefix: &str,
     ) -> impl Future<Output = Result<Vec<(String, Versioned)>, StoreError>> + Send;
 
-    /// Waits up to `wait` for a version of the key higher than `after`. `None`: no such version.
+    /// Waits up to `wait` for a version of the key higher than `after`. Returns `None` if there is
+    /// no such version by then.
     fn watch(
         &self,
         key: &str,
--- a/crates/store/src/repository.rs
+++ b/crates/store/src/repository.rs
@@ -1,4 +1,6 @@
-//! Numbered configuration versions in the journal `config`.
+//! Repository of numbered configuration versions, stored in the journal `config`.
+//!
+//! A patch applies to one version, its base, and creates the next version.
 
 mod history;
 
@@ -18,28 +20,32 @@
 use crate::journal::{archive, Journal, JournalError};
 use crate::Store;
 
-/// Name of the journal.
+/// Name of the journal that holds the configuration.
 pub const JOURNAL_NAME: &str = "config";
-/// Rounds of one submission that may lose to a log rewrite without new versions.
+/// Maximum number of attempts to append one patch. An attempt can lose to another writer that
+/// rewrote the log without adding a version.
 const MAX_ATTEMPTS: usize = 8;
-/// Attempts to find out what became of a write, and the pause after the first one.
+/// Maximum number of attempts to determine the outcome of a write.
 const MAX_RESOLVES: u32 = 3;
+/// Pause before the first attempt to determine an outcome; it doubles with each further attempt.
 const RESOLVE_BACKOFF: Duration = Duration::from_millis(50);
+/// Maximum length of an author's name, in bytes.
 const MAX_AUTHOR_BYTES: usize = 256;
 
-/// A patch that was not accepted, or may not have been.
+/// Reason why a patch was rejected, or why its outcome is unknown.
 #[derive(Debug)]
 pub enum SubmitError {
-    /// Another patch won on the base version; `author` sent the winner, which is version base + 1.
-    /// `author` is empty if that version is no longer kept.
+    /// The base version is outdated: `author` sent the patch that became version base + 1.
+    /// `author` is empty if that version is no longer kept or cannot be read.
     Stale { current: ConfigVersion, author: String },
     /// The base version does not exist yet.
     Future { current: ConfigVersion },
-    /// The patch or its result is faulty.
+    /// The patch or the resulting document is invalid.
     Invalid(Vec<Problem>),
-    /// The patch was not applied.
+    /// The patch was not applied, because the journal failed.
     Unavailable(JournalError),
-    /// The patch may have been applied; the base version tells once the store answers again.
+    /// The patch may have been applied. Once the store is available again, the version after the
+    /// base shows whether it was.
     Unknown(JournalError),
 }
 
@@ -47,31 +53,32 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             SubmitError::Stale { current, author } => {
-                write!(f, "the base is outdated: {author} was first; version {current} is current")
+                write!(f, "the base version is outdated: a patch by {author} was first; the current version is {current}")
             }
             SubmitError::Future { current } => {
-                write!(f, "the base does not exist; version {current} is current")
+                write!(f, "the base version does not exist; the current version is {current}")
             }
             SubmitError::Invalid(problems) => {
                 let messages: Vec<String> = problems.iter().map(Problem::to_string).collect();
-                write!(f, "invalid: {}", messages.join("; "))
+                write!(f, "invalid patch: {}", messages.join("; "))
             }
-            SubmitError::Unavailable(error) => write!(f, "not applied: {error}"),
-            SubmitError::Unknown(error) => write!(f, "may have been applied: {error}"),
+            SubmitError::Unavailable(error) => write!(f, "the patch was not applied: {error}"),
+            SubmitError::Unknown(error) => write!(f, "the patch may have been applied: {error}"),
         }
     }
 }
 
 impl std::error::Error for SubmitError {}
 
-/// The configuration versions, as one process knows them.
+/// One process's view of the configuration versions.
 #[derive(Debug, Clone)]
 pub struct ConfigRepository<S: Store> {
     shared: Arc<Shared<S>>,
 }
 
-/// Lock order: journal, state. The journal's lock is asynchronous and held during its calls of the
-/// store; the state's is never held across an await.
+/// State shared by the clones of a repository. Lock order: `journal`, then `state`. The lock of
+/// `journal` is asynchronous and held during calls of the store; the lock of `state` is never held
+/// across an await.
 #[derive(Debug)]
 struct Shared<S: Store> {
     store: S,
@@ -80,11 +87,12 @@
 }
 
 impl<S: Store> ConfigRepository<S> {
-    /// Reads the current version. `writer` must be different for each process and start.
+    /// Opens the repository and reads the current version. `writer` must be unique to each start of
+    /// each process.
     ///
     /// # Errors
     ///
-    /// Fails when the store does not answer or holds something that this release cannot read.
+    /// Fails when the store is unavailable or holds a document that this release cannot read.
     pub async fn open(store: S, writer: u64) -> Result<Self, JournalError> {
         let journal: Journal<S, History> =
             Journal::open(store.clone(), JOURNAL_NAME, writer).await?.with_archive();
@@ -99,13 +107,14 @@
         })
     }
 
-    /// Returns the newest version known to this process. It never falls.
+    /// Returns the newest version known to this process and its document. The version never
+    /// decreases.
     pub fn current(&self) -> (ConfigVersion, Arc<Document>) {
         let state = self.shared.state.read();
         (state.version, state.document.clone())
     }
 
-    /// Returns what a process at `version` lacks.
+    /// Returns the update from `version` to the newest version known to this process.
     pub fn update_since(&self, version: ConfigVersion) -> ConfigUpdate {
         let state = {
             let state = self.shared.state.read();
@@ -118,7 +127,7 @@
         state.update_since(version)
     }
 
-    /// Returns the last versions with their authors, oldest first.
+    /// Returns the most recent versions with their authors, oldest first.
     pub async fn recent(&self) -> Vec<(ConfigVersion, String)> {
         let journal = self.shared.journal.lock().await;
         journal.state().recent().map(|(version, c)| (version, c.author.clone())).collect()
@@ -129,7 +138,8 @@
     ///
     /// # Errors
     ///
-    /// Fails when the version is not the current one and the store does not answer.
+    /// Fails when the version is not the current one and the store is unavailable or holds a
+    /// malformed value.
     pub async fn document_at(&self, version: ConfigVersion) -> Result<Option<Bytes>, JournalError> {
         let state = self.shared.state.read().clone();
         if state.version == version {
@@ -143,12 +153,13 @@
         Ok(Some(encode_document(&document)))
     }
 
-    /// Applies a patch to the version `base` if that is still the current one.
+    /// Applies a patch to the version `base` if it is still the current one. Returns the new
+    /// version.
     ///
     /// # Errors
     ///
-    /// See [`SubmitError`]. All of them but [`SubmitError::Unknown`] mean that the patch was not
-    /// and will not be applied.
+    /// See [`SubmitError`]. After any error but [`SubmitError::Unknown`] the patch was not applied
+    /// and will not be.
     pub async fn submit(
         &self,
         base: ConfigVersion,
@@ -172,6 +183,7 @@
         }
     }
 
+    /// Appends a patch to the locked journal.
     async fn submit_locked(
         &self,
         journal: &mut Journal<S, History>,
@@ -180,8 +192,8 @@
         author: &str,
     ) -> Result<ConfigVersion, SubmitError> {
         for _ in 0..MAX_ATTEMPTS {
-            // This settles an earlier submission, which must not be continued by this one even if
-            // it is the same patch. While the store is down, it tells so before anything is sent.
+            // Resolves an earlier submission, which this one must not continue even if the patch is
+            // the same. If the store is down, the refresh fails before the patch is sent.
             journal.refresh().await.map_err(SubmitError::Unavailable)?;
             let current = journal.sequence();
             if base > current {
@@ -210,6 +222,7 @@
         Err(SubmitError::Unavailable(JournalError::Fenced))
     }
 
+    /// Returns the author of a version, or an empty name if it cannot be found.
     async fn author_of(&self, version: ConfigVersion) -> String {
         let recent = self.recent().await;
         if let Some((_, author)) = recent.into_iter().find(|(number, _)| *number == version) {
@@ -225,12 +238,12 @@
         }
     }
 
-    /// Waits up to `wait` for a version higher than `after`, and adopts it. A failure may come at
-    /// once, so the caller pauses before it waits again.
+    /// Waits up to `wait` for a version higher than `after`, and makes it the current one. An error
+    /// may be returned immediately, so the caller should pause before it retries.
     ///
     /// # Errors
     ///
-    /// Fails when the store does not answer or holds something malformed.
+    /// Fails when the store is unavailable or holds a malformed value.
     pub async fn wait_for_change(
         &self,
         after: ConfigVersion,
@@ -240,7 +253,7 @@
         loop {
             let log_version = {
                 let journal = self.shared.journal.lock().await;
-                // A submission may have been dropped before it published its version.
+                // The future of a submission may have been dropped before it published its version.
                 publish(&self.shared.state, &journal);
                 journal.log_version()
             };
@@ -260,6 +273,7 @@
     }
 }
 
+/// Returns the error for a version whose document this release cannot read.
 fn corrupt_version(version: ConfigVersion, problems: &[Problem]) -> JournalError {
     let messages: Vec<String> = problems.iter().map(Problem::to_string).collect();
     JournalError::Corrupt {
@@ -268,7 +282,7 @@
     }
 }
 
-/// Finds out whether an append was committed after the store failed to tell.
+/// Determines whether an append was committed whose write failed with `first_error`.
 async fn resolve<S: Store>(
     journal: &mut Journal<S, History>,
     first_error: JournalError,
@@ -288,8 +302,8 @@
     Err(SubmitError::Unknown(last_error))
 }
 
-/// Makes the journal's version the one in effect. A document that this release cannot read is
-/// skipped: the process keeps the last one that it understood.
+/// Updates `state` to the version of the journal. A document that this release cannot read is
+/// skipped, and the process keeps the last one that it could read.
 fn publish<S: Store>(state: &RwLock<ConfigState>, journal: &Journal<S, History>) {
     let history = journal.state();
     let mut state = state.write();
--- a/crates/store/src/repository/history.rs
+++ b/crates/store/src/repository/history.rs
@@ -1,4 +1,4 @@
-//! The replayed state of the journal `config`.
+//! Replicated state of the journal `config`: the current document and the recent patches.
 
 use std::collections::VecDeque;
 
@@ -12,27 +12,29 @@
 
 use crate::journal::Replay;
 
+/// Maximum number of recent changes in the state.
 const MAX_RECENT_CHANGES: usize = 128;
-/// Together with the largest document the state stays below the store's value limit.
+/// Maximum size of the recent changes, in bytes. With the largest document the state still fits into
+/// one value of the store.
 const MAX_RECENT_BYTES: usize = 64 * 1024;
 
-/// An accepted patch.
+/// An accepted patch and its author.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
     pub author: String,
     pub patch: Bytes,
 }
 
-/// Each record is one version.
+/// The configuration after `version` records; each record creates one version.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct History {
     pub version: ConfigVersion,
     document: JsonDocument,
-    /// Last changes; the last one led to `version`.
+    /// The most recent changes, oldest first; the last one created `version`.
     recent: VecDeque<Change>,
 }
 
-/// A document in its JSON form, which also other releases of the program can read.
+/// A document as JSON, so that other releases of the program can read it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 struct JsonDocument(Value);
@@ -62,7 +64,7 @@
 
     fn apply(&mut self, change: &Change) {
         if let Err(problem) = merge_json(&mut self.document.0, &change.patch) {
-            // Patches are checked before they are appended.
+            // Not expected: patches are validated before they are appended.
             tracing::error!(event = "patch_skipped", version = self.version + 1, %problem);
         }
         self.version += 1;
@@ -79,21 +81,22 @@
 }
 
 impl History {
-    /// Parses the document.
+    /// Parses the current document.
     ///
     /// # Errors
     ///
-    /// Fails when a newer release accepted something that this one does not know.
+    /// Fails when a newer release wrote a document that this release does not support.
     pub fn document(&self) -> Result<Document, Vec<Problem>> {
         document_from_json(self.document.0.clone())
     }
 
-    /// Returns the last changes with their versions, oldest first.
+    /// Returns the recent changes with their versions, oldest first.
     pub fn recent(&self) -> impl Iterator<Item = (ConfigVersion, &Change)> {
         (self.version + 1 - self.recent.len() as u64..).zip(&self.recent)
     }
 
-    /// Returns what a state at `version` lacks, as patches if they are known.
+    /// Returns the update from `version` to the current version: as patches if all of them are still
+    /// kept, else as the whole document.
     pub fn update_since(&self, version: ConfigVersion) -> ConfigUpdate {
         let patches: Vec<Bytes> = self
             .recent()
