--- a/crates/wire/src/accept.rs
+++ b/crates/wire/src/accept.rs
@@ -1,4 +1,4 @@
-//! Accepts connections until a shutdown.
+//! Accept loop of the servers, with a shutdown that resets no connection.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -11,13 +11,14 @@
 use crate::runtime;
 use crate::shutdown::Shutdown;
 
-/// Accept fails without pause when file descriptors have run out.
+/// Pause after a failed accept. Without a pause the loop would spin when file descriptors run out.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
-/// Time for handshakes that began before new ones were refused; several round trips between data
-/// centres.
+/// Time after the start of a shutdown for TCP handshakes in progress to complete. It covers several
+/// round trips between data centres.
 const HANDSHAKE_GRACE: Duration = Duration::from_millis(50);
 
-/// Runs `serve` for each connection until the signal, and returns once all connections have ended.
+/// Runs `serve` for each connection until the shutdown signal, and returns once all connections have
+/// ended.
 pub(crate) async fn run<F: Future<Output = ()> + Send + 'static>(
     listener: TcpListener,
     shutdown: Shutdown,
@@ -25,8 +26,8 @@
 ) {
     let mut connections = Vec::new();
     accept_until(&listener, shutdown.wait(), &serve, &mut connections).await;
-    // The kernel resets connections that it completes between the last accept and the close, and
-    // their callers cannot know whether a request that they sent has run.
+    // The kernel resets connections that it establishes between the last accept and the close of the
+    // listener. Their callers could not tell whether a request that they sent was executed.
     if let Err(error) = reject_handshakes(&listener) {
         tracing::warn!(event = "handshakes_not_rejected", %error);
     }
@@ -37,6 +38,7 @@
     }
 }
 
+/// Accepts and serves connections until `end` completes. Adds their tasks to `connections`.
 async fn accept_until<F: Future<Output = ()> + Send + 'static>(
     listener: &TcpListener,
     end: impl Future<Output = ()>,
@@ -63,9 +65,10 @@
     }
 }
 
-/// Drops packets that open a connection. Their senders repeat them after a second and are refused
-/// then, since the listener is closed.
+/// Attaches a packet filter to the listener that drops SYN packets, which open a connection. Their
+/// senders retransmit them after a second, when the listener is closed and the kernel refuses them.
 fn reject_handshakes(listener: &TcpListener) -> std::io::Result<()> {
+    // Opcodes of classic BPF, and the offset and bits of the flags in the TCP header.
     const LOAD_BYTE: u16 = 0x30;
     const JUMP_IF_SET: u16 = 0x45;
     const RETURN: u16 = 0x06;
--- a/crates/wire/src/body.rs
+++ b/crates/wire/src/body.rs
@@ -1,4 +1,4 @@
-//! HTTP bodies that are sent.
+//! Bodies of outgoing HTTP messages.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -8,26 +8,27 @@
 use futures_lite::Stream;
 use http_body::{Frame, SizeHint};
 
-/// The body was cut before its end.
+/// The body ended before all its parts were sent, or its reader is gone.
 #[derive(Debug, Clone, Copy)]
 pub struct BodyTruncated;
 
 impl std::fmt::Display for BodyTruncated {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("the body was cut before its end")
+        f.write_str("the body was truncated")
     }
 }
 
 impl std::error::Error for BodyTruncated {}
 
-/// A body that is known whole, or that arrives in parts.
+/// A body that is complete from the start, or that is streamed in parts.
 #[derive(Debug)]
 pub enum Body {
     Full(Option<Bytes>),
     Parts(Pin<Box<Receiver<Result<Bytes, BodyTruncated>>>>),
 }
 
-/// Feeds a [`Body::Parts`]. Dropping it without [`BodySender::finish`] cuts the body.
+/// Sends the parts of a [`Body::Parts`]. Dropping the sender without [`BodySender::finish`] truncates
+/// the body, which the reader sees as an error.
 #[derive(Debug)]
 pub struct BodySender {
     sender: Sender<Result<Bytes, BodyTruncated>>,
@@ -35,7 +36,7 @@
 }
 
 impl Body {
-    /// Builds a body from all its bytes.
+    /// Builds a complete body.
     pub fn full(bytes: impl Into<Bytes>) -> Self {
         let bytes = bytes.into();
         Body::Full((!bytes.is_empty()).then_some(bytes))
@@ -46,31 +47,31 @@
         Body::Full(None)
     }
 
-    /// Builds a body that is sent in parts.
+    /// Builds a body that is streamed in parts, and its sender.
     pub fn parts() -> (BodySender, Self) {
         const PARTS_BUFFERED: usize = 4;
-        // One place more than the sender uses, so that a cut can always be signalled.
+        // Once the buffer is full, the sender waits. A truncation needs no free slot: see `Drop`.
         let (sender, receiver) = async_channel::bounded(PARTS_BUFFERED);
         (BodySender { sender, finished: false }, Body::Parts(Box::pin(receiver)))
     }
 }
 
 impl BodySender {
-    /// Sends one part, waiting while the reader is behind.
+    /// Sends one part, and waits while the buffer is full.
     ///
     /// # Errors
     ///
-    /// Fails when the reader is gone.
+    /// Fails when the reader was dropped.
     pub async fn send(&mut self, part: Bytes) -> Result<(), BodyTruncated> {
         self.sender.send(Ok(part)).await.map_err(|_| BodyTruncated)
     }
 
-    /// Ends the body.
+    /// Marks the body as complete and closes it.
     pub fn finish(mut self) {
         self.finished = true;
     }
 
-    /// Returns once the reader is gone.
+    /// Returns once the reader was dropped.
     pub async fn closed(&self) {
         self.sender.closed().await;
     }
@@ -79,7 +80,8 @@
 impl Drop for BodySender {
     fn drop(&mut self) {
         if !self.finished {
-            // A full channel must not hide the cut: the oldest waiting part gives way.
+            // In a full channel the error replaces the oldest buffered part, so that the reader
+            // always sees the truncation.
             let _ = self.sender.force_send(Err(BodyTruncated));
         }
         self.sender.close();
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -1,14 +1,16 @@
-//! Errors that name the step and the peer.
+//! Errors of exchanges with other processes. Each names the step that failed and the peer.
 
 use std::fmt;
 
-/// How far an exchange had come when it failed.
+/// Step of an exchange at which it failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
+    /// Before any part of the request was sent.
     Connect,
     Send,
     Receive,
     Decode,
+    /// A time limit expired; the request may have been sent.
     Timeout,
 }
 
@@ -29,17 +31,18 @@
 #[derive(Debug)]
 pub struct WireError {
     pub step: Step,
+    /// Address of the other process.
     pub peer: String,
     pub detail: String,
 }
 
 impl WireError {
-    /// Builds an error from its parts.
+    /// Builds an error for an exchange with `peer` that failed at `step`.
     pub fn new(step: Step, peer: impl Into<String>, detail: impl fmt::Display) -> Self {
         WireError { step, peer: peer.into(), detail: detail.to_string() }
     }
 
-    /// Tells whether the exchange certainly did not reach the peer.
+    /// Tells whether the request is known not to have reached the peer.
     pub fn is_not_sent(&self) -> bool {
         self.step == Step::Connect
     }
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,10 +1,10 @@
-//! Length-prefixed `bincode` frames.
+//! Encoding of messages as `bincode` frames with a length prefix of 4 bytes, little-endian.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-/// Largest frame accepted or sent.
+/// Maximum size of a frame in bytes, without its prefix, for sending and receiving.
 pub const MAX_FRAME_BYTES: usize = 1024 * 1024 + 64 * 1024;
 const PREFIX_BYTES: usize = 4;
 
@@ -25,11 +25,12 @@
     Ok(frame.freeze())
 }
 
-/// Takes one frame from the front of `buffer`; `None` while it is incomplete.
+/// Removes one frame from the front of `buffer` and decodes it. Returns `None` while the frame is
+/// incomplete.
 ///
 /// # Errors
 ///
-/// Fails when the frame is too long, has trailing bytes, or is not a `T`.
+/// Fails when the frame exceeds [`MAX_FRAME_BYTES`], has trailing bytes, or does not decode to a `T`.
 pub fn decode<T: DeserializeOwned>(buffer: &mut BytesMut) -> Result<Option<T>, String> {
     if buffer.len() < PREFIX_BYTES {
         return Ok(None);
--- a/crates/wire/src/http_client.rs
+++ b/crates/wire/src/http_client.rs
@@ -1,4 +1,5 @@
-//! HTTP client with kept-alive connections, for upstreams, the platform and the operators' client.
+//! HTTP client with a pool of keep-alive connections, for requests to upstreams, the platform and the
+//! operator interface.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -21,19 +22,21 @@
 use crate::error::{Step, WireError};
 use crate::runtime;
 
+/// Time limit for a TCP connection and the HTTP handshake.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum number of idle connections kept for each address.
 const MAX_IDLE_PER_ADDRESS: usize = 64;
-/// Largest body that [`HttpClient::exchange`] reads.
+/// Maximum size of a response body that [`HttpClient::exchange`] reads, in bytes.
 pub const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
 
-/// A pool of HTTP/1.1 connections.
+/// Client with a pool of HTTP/1.1 connections. Clones share the pool.
 #[derive(Debug, Clone, Default)]
 pub struct HttpClient {
     idle: Arc<Mutex<HashMap<SocketAddr, Vec<SendRequest<Body>>>>>,
 }
 
 impl HttpClient {
-    /// Sends a request and returns the head of the response with its body still arriving.
+    /// Sends a request and returns the response as soon as its head has arrived; the body is streamed.
     ///
     /// # Errors
     ///
@@ -63,7 +66,7 @@
                     return Ok(Response::from_parts(head, body.release_if_ended()));
                 }
                 Err(mut error) => match error.take_message() {
-                    // The idle connection was closed before anything was written.
+                    // The idle connection was closed before any part of the request was sent.
                     Some(unsent) if reused => request = unsent,
                     Some(_) => return Err(WireError::new(Step::Connect, peer, error.error())),
                     None => return Err(WireError::new(Step::Receive, peer, error.error())),
@@ -72,7 +75,7 @@
         }
     }
 
-    /// Sends a request with a whole body and reads the whole response.
+    /// Sends a request and reads the whole response.
     ///
     /// # Errors
     ///
@@ -96,11 +99,12 @@
         .await
     }
 
-    /// Sends a small request without headers of its own; see [`HttpClient::exchange`].
+    /// Builds a request with a complete body and no headers but `host`, and sends it with
+    /// [`HttpClient::exchange`].
     ///
     /// # Errors
     ///
-    /// As [`HttpClient::exchange`].
+    /// Fails as [`HttpClient::exchange`] does, or when the path is not a valid URI.
     pub async fn simple(
         &self,
         address: SocketAddr,
@@ -118,6 +122,7 @@
         self.exchange(address, request, limit).await
     }
 
+    /// Removes an idle connection from the pool.
     fn take_idle(&self, address: SocketAddr) -> Option<SendRequest<Body>> {
         let mut idle = self.idle.lock();
         let senders = idle.get_mut(&address)?;
@@ -125,6 +130,7 @@
         senders.pop()
     }
 
+    /// Returns a connection to the pool, or drops it if the pool of its address is full.
     fn put_idle(&self, address: SocketAddr, sender: SendRequest<Body>) {
         let mut idle = self.idle.lock();
         let senders = idle.entry(address).or_default();
@@ -134,6 +140,7 @@
     }
 }
 
+/// Opens a connection. All errors have the step [`Step::Connect`].
 async fn connect(address: SocketAddr) -> Result<SendRequest<Body>, WireError> {
     let peer = address.to_string();
     let fail = |error: String| WireError::new(Step::Connect, peer.as_str(), error);
@@ -155,14 +162,16 @@
         .map_err(|error| WireError { step: Step::Connect, ..error })
 }
 
-/// Body of a response. Its connection is used again only after the body was read to its end.
+/// Body of a response. Its connection returns to the pool only after the body was read to its end.
 #[derive(Debug)]
 pub struct PooledBody {
     incoming: Incoming,
+    /// The pool, and the connection to return to it; `None` once returned.
     connection_slot: Option<(HttpClient, SocketAddr, SendRequest<Body>)>,
 }
 
 impl PooledBody {
+    /// Returns the connection to the pool if the body has no further parts.
     fn release_if_ended(mut self) -> Self {
         if self.incoming.is_end_stream() {
             self.release();
@@ -170,6 +179,7 @@
         self
     }
 
+    /// Returns the connection to the pool.
     fn release(&mut self) {
         if let Some((client, address, sender)) = self.connection_slot.take() {
             client.put_idle(address, sender);
--- a/crates/wire/src/http_server.rs
+++ b/crates/wire/src/http_server.rs
@@ -1,4 +1,4 @@
-//! HTTP server for callers and operators.
+//! HTTP/1.1 server for callers and operators, with a graceful shutdown.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -20,21 +20,22 @@
 use crate::runtime;
 use crate::shutdown::Shutdown;
 
-/// Largest request head accepted, in bytes.
+/// Maximum size of a request head, in bytes.
 pub const MAX_HEAD_BYTES: usize = 32 * 1024;
+/// Time limit for the arrival of a request head.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time after the start of a shutdown in which idle connections stay open. Callers learn from the
-/// next response that the connection closes; a request sent on a connection that is just closed
-/// would have an unknown outcome.
+/// Time after the start of a shutdown during which idle connections stay open. In this time each
+/// response tells its caller that the connection will close. A request sent on a connection that is
+/// being closed would have an unknown outcome.
 const IDLE_GRACE: Duration = Duration::from_millis(500);
 
-/// Answers HTTP requests.
+/// Handles the requests of an [`HttpServer`].
 pub trait HttpService: Send + Sync + 'static {
-    /// Answers one request.
+    /// Returns the response to one request.
     fn call(&self, request: Request<Incoming>) -> impl Future<Output = Response<Body>> + Send;
 }
 
-/// Accepts HTTP/1.1 connections.
+/// Server bound to an address.
 #[derive(Debug)]
 pub struct HttpServer {
     listener: TcpListener,
@@ -42,7 +43,7 @@
 }
 
 impl HttpServer {
-    /// Listens on `address`; port 0 lets the kernel choose.
+    /// Listens on `address`; with port 0 the kernel chooses the port.
     ///
     /// # Errors
     ///
@@ -53,12 +54,12 @@
         Ok(HttpServer { listener, address })
     }
 
-    /// Address with the port that is in use.
+    /// Returns the address with the actual port.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Serves until the signal, then lets open requests end.
+    /// Serves requests until the shutdown signal, then completes the requests in progress.
     pub async fn serve<S: HttpService>(self, service: Arc<S>, shutdown: Shutdown) {
         let stopping = shutdown.clone();
         accept::run(self.listener, shutdown, move |stream, peer| {
@@ -68,6 +69,7 @@
     }
 }
 
+/// Serves one connection until it ends or the shutdown closes it.
 async fn connection<S: HttpService>(
     stream: TcpStream,
     peer: SocketAddr,
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,4 +1,5 @@
-//! Runtime, message streams and HTTP for the processes of peridotfold.
+//! Async runtime and networking of the peridotfold processes: streams of messages over HTTP/2, and an
+//! HTTP/1.1 client and server.
 
 mod accept;
 pub mod body;
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,4 +1,7 @@
 //! Client side of the message streams.
+//!
+//! A message stream is one HTTP/2 stream. Its path names the kind of the message, and both sides send
+//! frames ([`crate::frame`]).
 
 use std::collections::HashMap;
 use std::future::poll_fn;
@@ -19,24 +22,27 @@
 use crate::frame;
 use crate::runtime;
 
-/// Time allowed for a TCP connection and the `h2` handshake.
+/// Time limit for a TCP connection and the HTTP/2 handshake.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Flow-control window of each stream.
 const STREAM_WINDOW_BYTES: u32 = 256 * 1024;
+/// Flow-control window of each connection.
 const CONNECTION_WINDOW_BYTES: u32 = 4 * 1024 * 1024;
+/// Maximum number of concurrent streams on a connection.
 const MAX_STREAMS: u32 = 4096;
 
-/// Connections to other processes, one for each address, opened on first use.
+/// Connections to other processes, one for each address. A connection is opened on first use.
 #[derive(Debug, Default)]
 pub struct Peers {
     connections: Mutex<HashMap<String, SendRequest<Bytes>>>,
 }
 
 impl Peers {
-    /// Opens a stream for a message of the given kind and sends its first frame.
+    /// Opens a stream for messages of the given kind and sends `message` as the first frame.
     ///
     /// # Errors
     ///
-    /// A [`Step::Connect`] error means that the message certainly was not sent.
+    /// After a [`Step::Connect`] error the message was not sent.
     pub async fn open<T: Serialize>(
         &self,
         address: &str,
@@ -46,6 +52,7 @@
         self.open_stream(address, kind, message, false).await
     }
 
+    /// Opens a stream and sends its first frame; `is_last` ends the sending side after the frame.
     async fn open_stream<T: Serialize>(
         &self,
         address: &str,
@@ -73,11 +80,11 @@
         Ok((sender, PendingReceiver { response, peer: address.to_owned() }))
     }
 
-    /// Sends one message and returns the one that answers it.
+    /// Sends one message and returns the reply.
     ///
     /// # Errors
     ///
-    /// Any error but one of [`Step::Connect`] leaves open whether the peer received the message.
+    /// After any error but one of [`Step::Connect`] the peer may have received the message.
     pub async fn call<T: Serialize, R: DeserializeOwned>(
         &self,
         address: &str,
@@ -86,8 +93,8 @@
         limit: Duration,
     ) -> Result<R, WireError> {
         let exchange = async {
-            // The message ends the stream: the peer may answer, and so close it, before a
-            // separate end could be sent.
+            // The frame of the message also ends the stream: the peer may reply and close the stream
+            // before a separate end could be sent.
             let (_sender, pending) = self.open_stream(address, kind, message, true).await?;
             let mut receiver = pending.receiver().await?;
             match receiver.next().await? {
@@ -97,14 +104,14 @@
         };
         let result = runtime::timeout(limit, address, exchange).await;
         if matches!(&result, Err(error) if error.step == Step::Timeout) {
-            // The connection may be dead without a TCP reset, as after the loss of a VM.
+            // The connection may be dead without a TCP reset, for example after the loss of a VM.
             self.forget(address);
         }
         result
     }
 
-    /// Connects to `address` unless a connection is open. Nothing is sent to the peer but the
-    /// handshake, also when the future is dropped.
+    /// Connects to `address` unless a connection is open. The peer receives only the
+    /// handshake, even if the future is dropped.
     ///
     /// # Errors
     ///
@@ -113,11 +120,12 @@
         self.ready(address).await.map(|_| ())
     }
 
-    /// Drops the connection to `address`; the next use opens a new one.
+    /// Removes the connection to `address` from the cache; the next use opens a new one.
     pub fn forget(&self, address: &str) {
         self.connections.lock().remove(address);
     }
 
+    /// Returns a connection to `address` that can accept a stream, and opens one if needed.
     async fn ready(&self, address: &str) -> Result<SendRequest<Bytes>, WireError> {
         let known = self.connections.lock().get(address).cloned();
         if let Some(client) = known {
@@ -136,9 +144,11 @@
     }
 }
 
+/// Opens a connection and spawns the task that drives it.
 async fn connect(address: &str) -> Result<SendRequest<Bytes>, WireError> {
     let fail = |error: String| WireError::new(Step::Connect, address, error);
-    let target: SocketAddr = address.parse().map_err(|_| fail("not an IP and port".into()))?;
+    let target: SocketAddr =
+        address.parse().map_err(|_| fail("the address is not an IP address with a port".into()))?;
     runtime::timeout(CONNECT_TIMEOUT, address, async {
         let stream = TcpStream::connect(target).await.map_err(|e| fail(e.to_string()))?;
         stream.set_nodelay(true).map_err(|e| fail(e.to_string()))?;
@@ -161,7 +171,7 @@
     .await
 }
 
-/// A stream whose answer has not begun.
+/// Receiving side of a stream whose response head has not arrived yet.
 #[derive(Debug)]
 pub struct PendingReceiver {
     response: h2::client::ResponseFuture,
@@ -169,11 +179,11 @@
 }
 
 impl PendingReceiver {
-    /// Waits for the answer to begin.
+    /// Waits for the response head.
     ///
     /// # Errors
     ///
-    /// Fails when the stream is reset or the peer refuses the message.
+    /// Fails when the stream is reset or the response has another status than 200.
     pub async fn receiver(self) -> Result<FrameReceiver, WireError> {
         let response = self
             .response
@@ -189,7 +199,7 @@
     }
 }
 
-/// Sends frames on a stream.
+/// Sending side of a stream.
 #[derive(Debug)]
 pub struct FrameSender {
     stream: SendStream<Bytes>,
@@ -201,38 +211,39 @@
         FrameSender { stream, peer }
     }
 
-    /// Sends one frame, waiting for window space.
+    /// Sends one message as a frame, and waits for flow-control capacity.
     ///
     /// # Errors
     ///
-    /// Fails when the stream is closed or the message is too large.
+    /// Fails when the stream is closed or the message exceeds [`frame::MAX_FRAME_BYTES`].
     pub async fn send<T: Serialize>(&mut self, message: &T) -> Result<(), WireError> {
         let frame = frame::encode(message)
             .map_err(|error| WireError::new(Step::Send, self.peer.as_str(), error))?;
         self.send_bytes(frame, false).await
     }
 
-    /// Ends the stream after what was sent.
+    /// Ends the sending side after the frames sent so far.
     ///
     /// # Errors
     ///
-    /// Fails when the stream is closed already.
+    /// Fails when the stream is already closed.
     pub fn finish(&mut self) -> Result<(), WireError> {
         self.stream
             .send_data(Bytes::new(), true)
             .map_err(|error| WireError::new(Step::Send, self.peer.as_str(), error))
     }
 
-    /// Resets the stream, so that the receiver sees that it was cut.
+    /// Resets the stream, so that the receiver sees an error instead of a normal end.
     pub fn abort(&mut self) {
         self.stream.send_reset(h2::Reason::CANCEL);
     }
 
-    /// Returns once the other side reset the stream or the connection was lost.
+    /// Returns once the peer has reset the stream or the connection is lost.
     pub async fn closed(&mut self) {
         let _ = poll_fn(|context| self.stream.poll_reset(context)).await;
     }
 
+    /// Sends an encoded frame in parts that fit the flow-control window.
     async fn send_bytes(&mut self, mut frame: Bytes, end_stream: bool) -> Result<(), WireError> {
         while !frame.is_empty() {
             self.stream.reserve_capacity(frame.len());
@@ -249,6 +260,7 @@
         Ok(())
     }
 
+    /// Waits for flow-control capacity and returns it in bytes.
     async fn wait_capacity(&mut self) -> Result<usize, WireError> {
         match poll_fn(|context| self.stream.poll_capacity(context)).await {
             Some(Ok(available)) => Ok(available),
@@ -258,7 +270,7 @@
     }
 }
 
-/// Receives frames from a stream.
+/// Receiving side of a stream.
 #[derive(Debug)]
 pub struct FrameReceiver {
     stream: RecvStream,
@@ -271,16 +283,16 @@
         FrameReceiver { stream, buffer: BytesMut::new(), peer }
     }
 
-    /// Address of the other side.
+    /// Returns the address of the peer.
     pub fn peer(&self) -> &str {
         &self.peer
     }
 
-    /// Returns the next frame, or `None` at the end of the stream.
+    /// Returns the message of the next frame, or `None` at the end of the stream.
     ///
     /// # Errors
     ///
-    /// Fails when the stream is reset, ends within a frame, or the frame is not a `T`.
+    /// Fails when the stream is reset, ends within a frame, or the frame does not decode to a `T`.
     pub async fn next<T: DeserializeOwned>(&mut self) -> Result<Option<T>, WireError> {
         loop {
             let decoded = frame::decode(&mut self.buffer)
@@ -305,12 +317,14 @@
         }
     }
 
+    /// Adds received data to the buffer and returns its flow-control capacity to the sender.
     fn buffer_data(&mut self, part: Bytes) {
-        // The window was granted by this side; giving it back fails only on a closed stream.
+        // This side granted the capacity, so releasing it fails only on a closed stream.
         let _ = self.stream.flow_control().release_capacity(part.len());
         self.buffer.extend_from_slice(&part);
     }
 
+    /// Reads the text of an error response until its end, or until at least 1 KiB has arrived.
     async fn read_text(&mut self) -> String {
         const MAX_TEXT_BYTES: usize = 1024;
         while self.buffer.len() < MAX_TEXT_BYTES {
--- a/crates/wire/src/runtime.rs
+++ b/crates/wire/src/runtime.rs
@@ -1,4 +1,4 @@
-//! The pool of threads that runs all tasks of a process, and its signals.
+//! Async runtime of a process: a thread pool for its tasks, timers, and Unix signals.
 
 use std::future::Future;
 use std::sync::OnceLock;
@@ -12,17 +12,19 @@
 use crate::error::{Step, WireError};
 use crate::shutdown::Shutdown;
 
+/// Executor of all tasks in the process.
 static EXECUTOR: Executor<'static> = Executor::new();
+/// Time of the first call of [`now`], on the boot-time clock.
 static PROCESS_START: OnceLock<Duration> = OnceLock::new();
 
-/// Runs `main` on a pool of `threads` threads and returns its result.
+/// Starts a pool of `threads` threads, runs `main` on the calling thread and returns its result.
 pub fn run<T>(threads: usize, main: impl Future<Output = T>) -> T {
     now();
     start_threads(threads.max(1));
     smol::block_on(main)
 }
 
-/// Adds threads to the pool. They run until the process ends.
+/// Adds threads to the pool. They run until the process exits.
 pub fn start_threads(threads: usize) {
     for index in 0..threads {
         let name = format!("worker-{index}");
@@ -33,13 +35,13 @@
     }
 }
 
-/// Starts a task on the pool.
+/// Spawns a task on the pool.
 pub fn spawn<T: Send + 'static>(task: impl Future<Output = T> + Send + 'static) -> Task<T> {
     EXECUTOR.spawn(task)
 }
 
-/// Returns the monotonic time since the start of the process. Time in which the machine was
-/// suspended counts, so that leases run out meanwhile.
+/// Returns the monotonic time since the first call in the process. Time during which the machine was
+/// suspended counts, so that leases expire in that time too.
 pub fn now() -> Duration {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     let time = Duration::new(time.tv_sec as u64, time.tv_nsec as u32);
@@ -51,7 +53,7 @@
     smol::Timer::after(duration).await;
 }
 
-/// Waits for `duration` or the signal; tells whether the signal came.
+/// Waits for `duration` or the shutdown signal. Returns whether the signal was given first.
 pub async fn sleep_or_shutdown(duration: Duration, shutdown: &Shutdown) -> bool {
     future::or(
         async {
@@ -70,7 +72,7 @@
 ///
 /// # Errors
 ///
-/// Returns a [`Step::Timeout`] error that names `peer` when the limit passes first.
+/// Returns a [`Step::Timeout`] error with the address `peer` if the task takes longer than `limit`.
 pub async fn timeout<T>(
     limit: Duration,
     peer: &str,
@@ -94,7 +96,7 @@
     Ok(())
 }
 
-/// Waits for SIGHUP, which no longer ends the process once this was called.
+/// Waits for SIGHUP. Once this function was called, SIGHUP no longer terminates the process.
 ///
 /// # Errors
 ///
--- a/crates/wire/src/server.rs
+++ b/crates/wire/src/server.rs
@@ -1,4 +1,4 @@
-//! Server side of the message streams.
+//! Server side of the message streams; see [`crate::peer`].
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -19,12 +19,16 @@
 use crate::runtime;
 use crate::shutdown::Shutdown;
 
+/// Flow-control window of each stream.
 const STREAM_WINDOW_BYTES: u32 = 256 * 1024;
+/// Flow-control window of each connection.
 const CONNECTION_WINDOW_BYTES: u32 = 4 * 1024 * 1024;
+/// Maximum number of concurrent streams on a connection.
 const MAX_STREAMS: u32 = 4096;
+/// Maximum size of the headers of a request.
 const MAX_HEADER_BYTES: u32 = 16 * 1024;
 
-/// Handles the streams that arrive at a [`MessageServer`].
+/// Handles the streams of a [`MessageServer`].
 pub trait Handler: Send + Sync + 'static {
     /// Handles one stream. An error is logged and closes the stream.
     fn handle(&self, stream: Stream) -> impl Future<Output = Result<(), WireError>> + Send;
@@ -33,13 +37,13 @@
 /// One incoming stream.
 #[derive(Debug)]
 pub struct Stream {
-    /// Kind of the message: the last part of the path.
+    /// Kind of the message: the last segment of the path.
     pub kind: String,
     pub receiver: FrameReceiver,
     pub responder: Responder,
 }
 
-/// Begins the answer to a stream.
+/// Starts the response to a stream.
 #[derive(Debug)]
 pub struct Responder {
     response: SendResponse<Bytes>,
@@ -47,11 +51,11 @@
 }
 
 impl Responder {
-    /// Begins the answer.
+    /// Sends a response head with status 200 and returns the sender of the frames.
     ///
     /// # Errors
     ///
-    /// Fails when the stream was reset by the other side.
+    /// Fails when the peer has reset the stream.
     pub fn start(mut self) -> Result<FrameSender, WireError> {
         let stream = self
             .response
@@ -60,22 +64,22 @@
         Ok(FrameSender::new(stream, self.peer))
     }
 
-    /// Sends one message as the whole answer.
+    /// Sends a response that consists of one message.
     ///
     /// # Errors
     ///
-    /// Fails when the stream was reset by the other side.
+    /// Fails when the peer has reset the stream.
     pub async fn reply<T: Serialize>(self, message: &T) -> Result<(), WireError> {
         let mut sender = self.start()?;
         sender.send(message).await?;
         sender.finish()
     }
 
-    /// Refuses the message with a status and a text for the peer's log.
+    /// Rejects the message with an error status and a text that the peer can log.
     ///
     /// # Errors
     ///
-    /// Fails when the stream was reset by the other side.
+    /// Fails when the peer has reset the stream.
     pub fn refuse(mut self, status: StatusCode, detail: String) -> Result<(), WireError> {
         let fail = |error: h2::Error| WireError::new(Step::Send, self.peer.as_str(), error);
         let mut head = Response::new(());
@@ -85,7 +89,7 @@
     }
 }
 
-/// Accepts connections of other processes.
+/// Server of message streams, bound to an address.
 #[derive(Debug)]
 pub struct MessageServer {
     listener: TcpListener,
@@ -93,7 +97,7 @@
 }
 
 impl MessageServer {
-    /// Listens on `address`; port 0 lets the kernel choose.
+    /// Listens on `address`; with port 0 the kernel chooses the port.
     ///
     /// # Errors
     ///
@@ -104,12 +108,12 @@
         Ok(MessageServer { listener, address })
     }
 
-    /// Address with the port that is in use.
+    /// Returns the address with the actual port.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Serves until the signal, then lets open streams end.
+    /// Serves streams until the shutdown signal, then completes the streams in progress.
     pub async fn serve<H: Handler>(self, handler: Arc<H>, shutdown: Shutdown) {
         let stopping = shutdown.clone();
         accept::run(self.listener, shutdown, move |stream, peer| {
@@ -119,6 +123,7 @@
     }
 }
 
+/// Serves one connection until it ends, or until its streams have ended after a shutdown.
 async fn connection<H: Handler>(
     stream: TcpStream,
     peer: SocketAddr,
@@ -167,6 +172,7 @@
     }
 }
 
+/// Builds the stream of a request.
 fn incoming(request: Request<RecvStream>, response: SendResponse<Bytes>, peer: &str) -> Stream {
     let kind = request.uri().path().rsplit('/').next().unwrap_or_default().to_owned();
     Stream {
@@ -176,6 +182,7 @@
     }
 }
 
+/// Runs the handler of a stream and logs its error.
 async fn handle<H: Handler>(stream: Stream, handler: Arc<H>, peer: String) {
     let kind = stream.kind.clone();
     if let Err(error) = handler.handle(stream).await {
--- a/crates/wire/src/shutdown.rs
+++ b/crates/wire/src/shutdown.rs
@@ -1,36 +1,36 @@
-//! A one-time signal that many tasks can wait for.
+//! Shutdown signal: given once, and awaited by any number of tasks.
 
 use async_channel::{Receiver, Sender};
 
-/// Waits for the signal. Clones wait for the same one.
+/// Receiving side of the signal. Clones receive the same signal.
 #[derive(Debug, Clone)]
 pub struct Shutdown {
     receiver: Receiver<()>,
 }
 
-/// Gives the signal, at the latest when dropped.
+/// Sending side of the signal. Dropping the trigger also gives the signal.
 #[derive(Debug)]
 pub struct Trigger {
     sender: Sender<()>,
 }
 
-/// Returns a signal and its trigger.
+/// Returns the two sides of a new signal.
 pub fn channel() -> (Trigger, Shutdown) {
     let (sender, receiver) = async_channel::bounded(1);
     (Trigger { sender }, Shutdown { receiver })
 }
 
 impl Trigger {
-    /// Wakes each task that waits.
+    /// Gives the signal and wakes all waiting tasks.
     pub fn fire(&self) {
         self.sender.close();
     }
 }
 
 impl Shutdown {
-    /// Returns once the signal was given.
+    /// Waits until the signal is given.
     pub async fn wait(&self) {
-        // Nothing is ever sent: the receive ends when the channel is closed.
+        // No message is ever sent: the call returns when the channel is closed.
         let _ = self.receiver.recv().await;
     }
 
