--- a/crates/store/tests/suite/contract.rs
+++ b/crates/store/tests/suite/contract.rs
@@ -1,5 +1,6 @@
-//! Guards against a client or a stand-in that departs from the store's protocol: every invariant
-//! of the journal rests on these properties.
+//! Contract tests of the store's protocol, run with the HTTP client against the stand-in store.
+//! They guard against a client or a stand-in that violates the properties on which the journal
+//! depends.
 
 use std::time::Duration;
 
@@ -13,10 +14,12 @@
 
 use crate::{eventually, run, start, TIMEOUT};
 
+/// Returns a string as a value.
 fn text(value: &str) -> Bytes {
     Bytes::copy_from_slice(value.as_bytes())
 }
 
+/// Writes a value, which must succeed, and returns its version.
 async fn put_written<S: Store>(store: &S, key: &str, expect: u64, value: &str) -> u64 {
     match store.put(key, expect, text(value)).await.unwrap() {
         PutOutcome::Written(version) => version,
@@ -40,7 +43,8 @@
         store.delete("a/b").await.unwrap();
         store.delete("a/b").await.unwrap();
         assert_eq!(store.get("a/b").await.unwrap(), None);
-        // A paused writer must not take the new value for the old one.
+        // Versions continue after a deletion, so that a writer that was paused meanwhile cannot
+        // mistake the new value for the old one.
         let third = put_written(&store, "a/b", 0, "new").await;
         assert!(third > second);
         assert_eq!(store.put("a/b", second, text("z")).await.unwrap(), PutOutcome::Conflict(third));
@@ -60,7 +64,7 @@
         }
         let error = store.put("over", 0, vec![0; MAX_VALUE_BYTES + 1].into()).await.unwrap_err();
         assert!(error.is_not_sent());
-        // The stand-in itself refuses it too.
+        // The stand-in also rejects an oversized value that the client did not check.
         let client = HttpClient::default();
         let path = "/kv/over?expect=0";
         let body = vec![0; MAX_VALUE_BYTES + 1];
@@ -117,7 +121,7 @@
         });
         eventually("the watch waits", || stand_in.stats().watches_waiting == 1).await;
         abandoned.cancel().await;
-        eventually("the watch is gone", || stand_in.stats().watches_waiting == 0).await;
+        eventually("the watch has ended", || stand_in.stats().watches_waiting == 0).await;
     });
 }
 
--- a/crates/store/tests/suite/faults.rs
+++ b/crates/store/tests/suite/faults.rs
@@ -1,4 +1,4 @@
-//! A store whose writes fail by a script.
+//! Test store that injects faults into chosen writes and reads.
 
 use std::collections::HashMap;
 use std::future;
@@ -11,49 +11,58 @@
 use peridotfold_wire::error::Step;
 use peridotfold_wire::shutdown::{self, Shutdown, Trigger};
 
-/// What happens to a write.
+/// Fault injected into a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// It takes effect, but its response is lost.
+    /// The write takes effect, but its response is lost.
     Lost,
-    /// It has no effect, and the caller cannot know.
+    /// The write has no effect, and the error leaves its outcome open.
     Refused,
-    /// It certainly did not reach the store.
+    /// The write does not reach the store, and the error says so.
     NotSent,
-    /// It seems lost and takes effect just before the next write does.
+    /// The write times out, and takes effect just before the next write.
     Delayed,
-    /// It takes effect, and the writer ends.
+    /// The write takes effect, and the writer crashes: the call never returns.
     CrashAfter,
-    /// The writer ends before it takes effect.
+    /// The writer crashes before the write takes effect: the call never returns.
     CrashBefore,
-    /// It waits for [`Script::release`].
+    /// The write is sent only after [`ScriptedStore::release`].
     Paused,
 }
 
+/// Faults to inject, and the calls counted so far.
 #[derive(Debug)]
 pub struct Script {
+    /// Faults by the number of the write, from 0.
     faults: HashMap<usize, Fault>,
     puts: usize,
+    /// Number of the next reads that fail.
     failing_gets: usize,
+    /// Number of reads that fail after the next faulty write.
     gets_to_fail: usize,
+    /// Writes with [`Fault::Delayed`] that have not taken effect: key, expected version and value.
     delayed_puts: Vec<(String, u64, Bytes)>,
     delayed_outcomes: Vec<PutOutcome>,
+    /// Signals indexed by [`CRASHED`], [`PAUSED`] and [`RELEASED`].
     signals: [(Trigger, Shutdown); 3],
 }
 
-/// A store that obeys a script. Clones share it.
+/// Store client that injects the faults of a script. Clones share the script.
 #[derive(Debug, Clone)]
 pub struct ScriptedStore {
     inner: HttpStore,
     script: Arc<Mutex<Script>>,
 }
 
+/// Index of the signal that the writer crashed.
 const CRASHED: usize = 0;
+/// Index of the signal that a write is paused.
 const PAUSED: usize = 1;
+/// Index of the signal that a paused write may continue.
 const RELEASED: usize = 2;
 
 impl ScriptedStore {
-    /// `faults` names writes by their number, from 0.
+    /// Builds a store client with the given faults, each with the number of its write, from 0.
     pub fn new(inner: HttpStore, faults: impl IntoIterator<Item = (usize, Fault)>) -> Self {
         let script = Script {
             faults: faults.into_iter().collect(),
@@ -67,45 +76,45 @@
         ScriptedStore { inner, script: Arc::new(Mutex::new(script)) }
     }
 
-    /// Number of writes so far.
+    /// Returns the number of writes so far.
     pub fn puts(&self) -> usize {
         self.script.lock().puts
     }
 
-    /// Makes the next reads fail.
+    /// Makes the next `count` reads fail.
     pub fn fail_gets(&self, count: usize) {
         self.script.lock().failing_gets = count;
     }
 
-    /// Adds a fault for the write that follows `after` further ones.
+    /// Adds a fault for the write after the next `after` writes.
     pub fn fail_put(&self, after: usize, fault: Fault) {
         let mut script = self.script.lock();
         let number = script.puts + after;
         script.faults.insert(number, fault);
     }
 
-    /// Adds a fault for the next write, and lets the reads that follow it fail.
+    /// Adds a fault for the next write, and makes the next `gets` reads after it fail.
     pub fn fail_put_then_gets(&self, fault: Fault, gets: usize) {
         self.fail_put(0, fault);
         self.script.lock().gets_to_fail = gets;
     }
 
-    /// Returns once the writer has ended by a fault.
+    /// Waits until a fault has crashed the writer.
     pub async fn crashed(&self) {
         self.wait(CRASHED).await;
     }
 
-    /// Returns once a write is paused.
+    /// Waits until a write is paused.
     pub async fn paused(&self) {
         self.wait(PAUSED).await;
     }
 
-    /// Lets a paused write go on.
+    /// Lets a paused write continue.
     pub fn release(&self) {
         self.fire(RELEASED);
     }
 
-    /// Performs the late writes; returns the outcomes of all so far.
+    /// Performs the delayed writes. Returns the outcomes of all delayed writes so far.
     pub async fn deliver_delayed(&self) -> Vec<PutOutcome> {
         let delayed_puts = std::mem::take(&mut self.script.lock().delayed_puts);
         for (key, expect, value) in delayed_puts {
--- a/crates/store/tests/suite/journal.rs
+++ b/crates/store/tests/suite/journal.rs
@@ -1,5 +1,5 @@
-//! Guards against records that are lost, committed twice or out of order, and against an owner
-//! that commits after it was fenced off, whatever write fails.
+//! Tests of the journal with a fault injected at each write in turn. They guard against records that
+//! are lost, committed twice or reordered, and against an owner that commits after it was fenced off.
 
 use peridotfold_store::journal::{archive, Journal, JournalError, Replay};
 use peridotfold_store::HttpStore;
@@ -9,10 +9,11 @@
 use crate::faults::{Fault, ScriptedStore};
 use crate::{run, start};
 
-/// Records in the order of their application. Padding makes the log rotate every few records.
+/// State that holds the values of the applied records in order.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 struct Values(Vec<u32>);
 
+/// Record that appends a value. The padding makes the log rotate every few records.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct Added {
     value: u32,
@@ -29,16 +30,19 @@
 
 type Log<S> = Journal<S, Values>;
 
+/// Returns one record with 6000 bytes of padding.
 fn added(value: u32) -> Vec<Added> {
     vec![Added { value, padding: "x".repeat(6000) }]
 }
 
+/// Number of records that a test appends.
 const RECORDS: u32 = 14;
 
 fn expected() -> Vec<u32> {
     (0..RECORDS).collect()
 }
 
+/// Opens the journal anew and returns its values.
 async fn replayed(store: &HttpStore) -> Vec<u32> {
     let journal = Log::open(store.clone(), "j", 99).await.unwrap();
     assert_eq!(journal.sequence(), journal.state().0.len() as u64);
@@ -49,10 +53,10 @@
     Log::open(store.clone(), "j", writer).await.unwrap().with_archive()
 }
 
-/// Appends each value, repeating it while the store is unavailable.
+/// Appends each value, and retries while the store is unavailable.
 async fn append_all(journal: &mut Log<ScriptedStore>, values: impl Iterator<Item = u32>) {
     for value in values {
-        // More than any script's faults, so that a journal that never recovers fails the test.
+        // More than the faults of any script, so that a journal that never recovers fails the test.
         const TRIES: usize = 20;
         let mut tries = 0;
         while let Err(error) = journal.append(added(value)).await {
@@ -63,7 +67,7 @@
     }
 }
 
-/// Checks that each former state can still be found.
+/// Checks that the archive returns each earlier state.
 async fn assert_past(store: &HttpStore, expected: &[u32], case: &str) {
     for length in 0..=expected.len() {
         let state_at = archive::state_at::<_, Values>(store, "j", length as u64).await.unwrap();
@@ -72,6 +76,7 @@
     }
 }
 
+/// Returns the number of writes that a run without faults takes.
 async fn writes_of_undisturbed_run() -> usize {
     let (_stand_in, store) = start().await;
     let scripted = ScriptedStore::new(store.clone(), []);
@@ -113,7 +118,7 @@
     });
 }
 
-/// Covers in particular the crash between the snapshot and the clearing of the log.
+/// Covers, among others, a crash after the snapshot is saved and before the log is cleared.
 #[test]
 fn a_crash_at_each_write_loses_and_repeats_nothing() {
     run(async {
@@ -143,7 +148,8 @@
     run(async {
         let writes = writes_of_undisturbed_run().await;
         for at in 0..writes {
-            // Small records first let the successor extend the log that the old owner archives.
+            // With small records first, the successor extends the same log that the old owner is
+            // about to archive.
             for (small, successors) in [(0, 1), (0, 9), (9, 9)] {
                 let (_stand_in, store) = start().await;
                 let scripted = ScriptedStore::new(store.clone(), [(at, Fault::Paused)]);
@@ -179,7 +185,7 @@
                 assert_eq!(new.state().0, expected, "{case}");
                 assert_eq!(replayed(&store).await, expected, "{case}");
                 assert_past(&store, &expected, &case).await;
-                // The fenced owner can follow again, and appends only on top of what it has read.
+                // The fenced owner can append again only after a refresh.
                 assert!(matches!(old.append(added(1)).await, Err(JournalError::Fenced)));
                 assert!(old.refresh().await.unwrap());
                 assert_eq!(old.state().0, expected, "{case}");
@@ -205,8 +211,8 @@
             assert!(journal.is_unresolved());
             assert!(journal.resolve().await.is_err(), "the store is still down");
             assert!(journal.is_unresolved());
-            // A late write lands during the resolution itself; either outcome may be found, but
-            // it has to be the final one.
+            // A delayed write takes effect during the resolution. Either outcome is allowed, but it
+            // has to be final.
             let found = journal.resolve().await.unwrap();
             assert!(found == is_committed || fault == Fault::Delayed, "{fault:?}");
             scripted.deliver_delayed().await;
@@ -232,7 +238,8 @@
             Ok(true)
         });
         assert!(is_paused.await.unwrap());
-        // The caller gave up while its write was under way: its content is sent again later.
+        // The caller dropped the append while its write was in flight. A write on the same version
+        // that arrives after the resolution stands for it.
         let held = peridotfold_store::Store::get(&store, "j/log").await.unwrap().unwrap();
         assert!(journal.is_unresolved());
         assert!(!journal.resolve().await.unwrap());
@@ -242,7 +249,8 @@
     });
 }
 
-/// The response of a commit is lost, and others rotate the log before the writer can ask.
+/// Guards against an outcome that is lost when other writers rotate the log before the writer of a
+/// batch, whose response was lost, can read it.
 #[test]
 fn a_lost_response_is_resolved_after_rotations_by_others() {
     run(async {
--- a/crates/store/tests/suite/racing.rs
+++ b/crates/store/tests/suite/racing.rs
@@ -1,5 +1,6 @@
-//! Guards against two winners of one base version, versions that revert, and reports that do not
-//! agree with the history, while submitters race and the store loses responses and fails.
+//! Concurrent submissions of patches while the store loses responses and fails. Guards against two
+//! patches accepted for the same base version, versions that go backwards, and results reported to
+//! submitters that contradict the stored history.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -15,17 +16,20 @@
 use crate::repository::{cells, patch};
 use crate::{run, TIMEOUT};
 
+/// Number of concurrent submitters.
 const SUBMITTERS: u64 = 4;
+/// Number of patches of each submitter.
 const PATCHES: u32 = 25;
-/// Versions and their documents, as some process has shown them.
+/// Versions and their documents, as read through some repository.
 type Reads = Vec<(u64, Bytes)>;
 
+/// Results that the submitters received, by the marker of the patch.
 #[derive(Debug, Default)]
 struct Reports {
     accepted: Vec<(u64, String)>,
     rejected: Vec<String>,
     unknown: Vec<String>,
-    /// Base and author of the winner, as heard by losers.
+    /// Base version and author of the accepted patch, as reported to submitters of other patches.
     winners: Vec<(u64, String)>,
     reads: Reads,
 }
@@ -37,6 +41,7 @@
     }
 }
 
+/// Runs the submitters and an observer, and checks their results.
 async fn race(seed: u64) {
     let stand_in = StandIn::start(Options { seed, ..Options::default() }).await.unwrap();
     let stand_in = Arc::new(stand_in);
@@ -61,6 +66,7 @@
     check_history(seed, &store, all).await;
 }
 
+/// Opens a repository, and retries while the store is unavailable.
 async fn open(store: &HttpStore, writer: u64) -> ConfigRepository<HttpStore> {
     loop {
         match ConfigRepository::open(store.clone(), writer).await {
@@ -71,6 +77,7 @@
     }
 }
 
+/// Records the current version, which must never decrease.
 fn read(repository: &ConfigRepository<HttpStore>, reads: &mut Reads) -> u64 {
     let (version, document) = repository.current();
     let last = reads.last().map_or(0, |(version, _)| *version);
@@ -81,6 +88,7 @@
     version
 }
 
+/// Follows the versions until the submitters are done.
 async fn observe(store: HttpStore, is_done: Arc<AtomicBool>) -> Reads {
     let repository = open(&store, 1000).await;
     let mut reads = Vec::new();
@@ -96,6 +104,7 @@
     reads
 }
 
+/// Submits all patches of one submitter. Submitter 0 also sets the faults of the store.
 async fn submit_all(stand_in: Arc<StandIn>, store: HttpStore, seed: u64, index: u64) -> Reports {
     let mut random = fastrand::Rng::with_seed(seed * 100 + index);
     let mut repository = open(&store, index + 1).await;
@@ -112,7 +121,7 @@
         }
         let marker = format!("m-{index}-{number}");
         let patch = patch(&marker, 2000);
-        // A loser tries again on the version that it has heard of, with the same marker.
+        // If another patch was accepted first, retries on the new version with the same marker.
         for _ in 0..30 {
             let base = read(&repository, &mut reports.reads);
             match repository.submit(base, patch.clone(), &author).await {
@@ -141,13 +150,14 @@
         }
     }
     if index == 0 {
-        // An outage that nobody ends would keep the other submitters waiting for the store.
+        // Only this submitter changes the faults, so it must end an outage before it returns:
+        // the others would wait for the store.
         stand_in.set_faults(Faults::default());
     }
     reports
 }
 
-/// Replaces a submitter's process, as when its VM restarts.
+/// Opens a new repository as a new writer, as after a restart of the submitter's process.
 async fn reopen(
     stand_in: &StandIn,
     store: &HttpStore,
@@ -160,11 +170,12 @@
     open(store, (index + 1) * 10_000 + u64::from(number)).await
 }
 
+/// Compares the reported results with the stored history.
 async fn check_history(seed: u64, store: &HttpStore, reports: Reports) {
     let repository = open(store, 5000).await;
     let (last, _) = repository.current();
     assert!(!reports.accepted.is_empty());
-    // One total order: each version adds exactly one marker to the version before it.
+    // The order is total: each version adds exactly one marker to the previous version.
     let mut documents = BTreeMap::new();
     let mut order: Vec<String> = Vec::new();
     let mut known = BTreeSet::new();
--- a/crates/store/tests/suite/repository.rs
+++ b/crates/store/tests/suite/repository.rs
@@ -1,5 +1,5 @@
-//! Guards against operators who are told something false about their patch, and against versions
-//! that are lost or not adopted.
+//! Tests of the configuration repository. They guard against a wrong result reported for a patch, and
+//! against versions that are lost or not picked up by other processes.
 
 use std::time::Duration;
 
@@ -13,12 +13,14 @@
 use crate::faults::{Fault, ScriptedStore};
 use crate::{run, start, TIMEOUT};
 
-/// Adds one cell; the padding removes a cell that does not exist.
+/// Returns a patch that adds one cell. It also removes an absent cell whose name has `padding` bytes,
+/// which sets the size of the patch.
 pub fn patch(cell: &str, padding: usize) -> Bytes {
     let absent = "x".repeat(padding);
     json!({"cells": {cell: {"data_centre": "brno"}, absent: null}}).to_string().into()
 }
 
+/// Returns the names of the cells in an encoded document.
 pub fn cells(document: &[u8]) -> Vec<String> {
     decode_document(document).unwrap().cells.into_keys().collect()
 }
@@ -80,7 +82,7 @@
             }
             assert_eq!(repository.document_at(41).await.unwrap(), None);
         }
-        // The winner's author is found although the version has left the recent ones.
+        // The author of an old version is read from the archive.
         match late.submit(0, patch("z", 1), "carl").await {
             Err(SubmitError::Stale { current: 40, author }) => assert_eq!(author, "anna"),
             other => panic!("{other:?}"),
@@ -96,6 +98,7 @@
     });
 }
 
+/// Returns the keys of the configuration journal in the store.
 async fn store_keys(store: &HttpStore) -> Vec<String> {
     let found = peridotfold_store::Store::list(store, "config/").await.unwrap();
     found.into_iter().map(|(key, _)| key).collect()
@@ -142,7 +145,7 @@
     });
 }
 
-/// Each kind of lost write, with the store down for some reads after it.
+/// Covers each fault of a write that returns an error, with up to 7 failing reads after it.
 #[test]
 fn a_lost_response_is_neither_applied_twice_nor_reported_wrongly() {
     run(async {
@@ -164,7 +167,7 @@
                     Err(SubmitError::Unknown(_)) => assert!(failing_gets >= 4, "{case}"),
                     other => panic!("{case}: {other:?}"),
                 }
-                // The operator repeats the patch, through this process or another.
+                // The operator submits the same patch again.
                 scripted.fail_gets(0);
                 let version = match repository.submit(1, patch("b", 1), "bent").await {
                     Ok(version) => version,
@@ -181,7 +184,8 @@
     });
 }
 
-/// The operator's connection ends while the write is under way.
+/// Guards against a version that stays unpublished after the operator's connection, and with it the
+/// future of the submission, ends during the write.
 #[test]
 fn an_abandoned_submission_is_published_or_withdrawn() {
     run(async {
@@ -203,7 +207,8 @@
     });
 }
 
-/// A release must not start from an older version when it cannot read the current one.
+/// Guards against a release that cannot read the current document and continues from an older
+/// version.
 #[test]
 fn a_document_of_a_newer_release_is_not_replaced_by_an_older_one() {
     run(async {
@@ -224,7 +229,7 @@
         journal.append(vec![newer]).await.unwrap();
         let error = ConfigRepository::open(store.clone(), 3).await.unwrap_err();
         assert!(error.to_string().contains("regions"), "{error}");
-        // A running process keeps the last version that it understands, and changes nothing.
+        // A running process keeps the last version that it can read, and rejects submissions.
         let wait = Duration::from_millis(50);
         assert_eq!(running.wait_for_change(1, wait).await.unwrap(), None);
         assert_eq!(running.current().0, 1);
--- a/crates/wire/tests/frame.rs
+++ b/crates/wire/tests/frame.rs
@@ -1,10 +1,11 @@
-//! Guards against frames that a garbage or hostile peer could use to exhaust memory or to be
-//! taken for a message.
+//! Tests of frame decoding. They guard against malformed or hostile frames that exhaust memory, cause
+//! a panic or decode to a message.
 
 use bytes::{BufMut, BytesMut};
 use peridotfold_core::message::request::{BodyFrame, Cancel, RequestId};
 use peridotfold_wire::frame::{decode, encode, MAX_FRAME_BYTES};
 
+/// Returns a sample message.
 fn cancel() -> Cancel {
     Cancel { id: RequestId { entry: "e1".into(), incarnation: 7, number: 9 } }
 }
--- a/crates/wire/tests/http_client.rs
+++ b/crates/wire/tests/http_client.rs
@@ -1,4 +1,4 @@
-//! Connections of the HTTP client that are kept for reuse.
+//! Reuse of pooled connections by the HTTP client.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,11 +14,13 @@
 use peridotfold_wire::http_server::{HttpServer, HttpService};
 use peridotfold_wire::{runtime, shutdown};
 
+/// Time limit of each request.
 const LIMIT: Duration = Duration::from_secs(10);
 
-/// Answers with the path. The body of `/slow` ends when the test says so.
+/// Responds with the path of the request. The body of `/slow` stays open until the test ends it.
 #[derive(Default)]
 struct Pages {
+    /// Sender of the open body of `/slow`.
     slow: Mutex<Option<BodySender>>,
 }
 
@@ -36,8 +38,8 @@
     }
 }
 
-/// Guards against a connection that carries another request while a body still arrives on it: the
-/// second caller would wait for the first one's body, or receive a part of it.
+/// Guards against reuse of a connection whose previous response body is still arriving: the second
+/// caller would wait for that body, or receive a part of it.
 #[test]
 fn connection_is_used_again_only_after_its_body_was_read() {
     runtime::start_threads(2);
--- a/crates/wire/tests/http_server.rs
+++ b/crates/wire/tests/http_server.rs
@@ -1,4 +1,4 @@
-//! Shutdown of the HTTP server.
+//! Graceful shutdown of the HTTP server under load.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -14,14 +14,21 @@
 use peridotfold_wire::runtime;
 use peridotfold_wire::shutdown;
 
+/// Number of shutdowns with pooled connections.
 const ROUNDS: usize = 30;
-/// Rounds at the same time: in each, callers wait a second for their last connection to be refused.
+/// Number of rounds at the same time. In each round the clients wait one second until their last
+/// connection is refused.
 const PARALLEL: usize = 10;
+/// Number of shutdowns with a new connection for each request.
 const CONNECTING_ROUNDS: usize = 10;
+/// Number of concurrent clients in each round.
 const CLIENTS: usize = 16;
+/// Time limit for a new connection.
 const CONNECT_LIMIT: Duration = Duration::from_millis(200);
+/// Time limit of each request.
 const LIMIT: Duration = Duration::from_secs(10);
 
+/// Service with the same response to all requests.
 struct Pages;
 
 impl HttpService for Pages {
@@ -30,7 +37,7 @@
     }
 }
 
-/// Sends requests until the server is gone; returns the first error.
+/// Sends requests until one fails, and returns its error.
 async fn send_all(client: HttpClient, address: SocketAddr) -> WireError {
     loop {
         if let Err(error) = client.simple(address, Method::GET, "/", "", LIMIT).await {
@@ -39,7 +46,8 @@
     }
 }
 
-/// Stops a server that is under load; returns the errors of requests that may have run.
+/// Shuts down a server under load. Returns the errors of failed requests that the server may have
+/// executed.
 async fn requests_cut_by_shutdown() -> Vec<String> {
     let any_address = SocketAddr::from(([127, 0, 0, 1], 0));
     let server = HttpServer::bind(any_address).await.expect("server");
@@ -62,9 +70,9 @@
     truncated
 }
 
-/// Guards against a shutdown that closes a connection on which a request has just been sent: its
-/// caller could not know whether the request ran. The same holds for a connection that the kernel
-/// completes just before the listener is closed.
+/// Guards against a shutdown that closes a connection on which a request has just been sent, or that
+/// resets a connection established just before the listener is closed. In both cases the caller could
+/// not tell whether the request was executed.
 #[test]
 fn a_shutdown_under_load_cuts_no_request() {
     runtime::start_threads(4);
@@ -86,8 +94,8 @@
     });
 }
 
-/// Opens a connection for each request until the server refuses one; returns how many of those
-/// that were opened got no answer.
+/// Opens a connection for each request until the server refuses one. Returns the number of
+/// established connections that received no response.
 fn unanswered(address: SocketAddr) -> usize {
     let mut count = 0;
     while let Ok(mut stream) = TcpStream::connect_timeout(&address, CONNECT_LIMIT) {
@@ -101,8 +109,8 @@
     count
 }
 
-/// Guards against a listener that is closed while the kernel still completes handshakes: it would
-/// reset their connections after the callers have sent their requests.
+/// Guards against a listener that is closed while the kernel still completes TCP handshakes: the
+/// kernel would reset these connections after the callers have sent their requests.
 #[test]
 fn a_shutdown_answers_each_connection_that_was_opened() {
     runtime::start_threads(4);
