--- a/crates/store/src/repository.rs
+++ b/crates/store/src/repository.rs
@@ -53,10 +53,13 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             SubmitError::Stale { current, author } => {
-                write!(f, "the base version is outdated: a patch by {author} was first; the current version is {current}")
+                write!(
+                    f,
+                    "the base version is outdated: {author} was first; version {current} is current"
+                )
             }
             SubmitError::Future { current } => {
-                write!(f, "the base version does not exist; the current version is {current}")
+                write!(f, "the base version does not exist; version {current} is current")
             }
             SubmitError::Invalid(problems) => {
                 let messages: Vec<String> = problems.iter().map(Problem::to_string).collect();
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -12,7 +12,7 @@
 ///
 /// # Errors
 ///
-/// Fails when the message exceeds [`FRAME_LIMIT`] or cannot be encoded.
+/// Fails when the message exceeds [`MAX_FRAME_BYTES`] or cannot be encoded.
 pub fn encode<T: Serialize>(message: &T) -> Result<Bytes, String> {
     let body = bincode::serde::encode_to_vec(message, bincode::config::standard())
         .map_err(|error| error.to_string())?;
--- a/crates/wire/src/http_client.rs
+++ b/crates/wire/src/http_client.rs
@@ -80,7 +80,7 @@
     /// # Errors
     ///
     /// Fails when the exchange takes longer than `limit` or the response exceeds
-    /// [`EXCHANGE_LIMIT`].
+    /// [`MAX_RESPONSE_BYTES`].
     pub async fn exchange(
         &self,
         address: SocketAddr,
