--- a/crates/store/src/http.rs
+++ b/crates/store/src/http.rs
@@ -1,4 +1,4 @@
-//! The platform's store over HTTP.
+//! HTTP client of the platform's key-value store.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,11 +9,12 @@
 use peridotfold_wire::http_client::HttpClient;
 use serde::Deserialize;
 
-use crate::{PutOutcome, Store, StoreError, Versioned, VALUE_LIMIT};
+use crate::{PutOutcome, Store, StoreError, Versioned, MAX_VALUE_BYTES};
 
+/// Response header that carries the version of the returned value.
 const VERSION_HEADER: &str = "x-version";
 
-/// Client of the store at one address.
+/// Client of the key-value store at one address.
 #[derive(Debug, Clone)]
 pub struct HttpStore {
     client: HttpClient,
@@ -21,20 +22,23 @@
     timeout: Duration,
 }
 
+/// JSON body of a response to a put.
 #[derive(Deserialize)]
-struct Written {
+struct PutResponse {
     version: u64,
 }
 
+/// One entry of the index that precedes the values in a response to a list request.
 #[derive(Deserialize)]
-struct Listed {
+struct ListEntry {
     key: String,
     version: u64,
+    /// Size of the value, in bytes.
     length: usize,
 }
 
 impl HttpStore {
-    /// Builds a client whose calls take at most `timeout`, in addition to the wait of a watch.
+    /// Builds a client whose calls time out after `timeout`. A watch may take its wait time on top.
     pub fn new(address: SocketAddr, timeout: Duration) -> Self {
         HttpStore { client: HttpClient::default(), address, timeout }
     }
@@ -47,25 +51,29 @@
         self.error(Step::Decode, detail)
     }
 
-    fn unexpected(&self, response: &Response<Bytes>) -> StoreError {
+    /// Returns an error with the status and the first 200 bytes of a response.
+    fn status_error(&self, response: &Response<Bytes>) -> StoreError {
         let text = String::from_utf8_lossy(&response.body()[..response.body().len().min(200)]);
         self.error(Step::Receive, format!("status {}: {text}", response.status()))
     }
 
+    /// Sends one request and counts its result in `store_calls_total`.
     async fn call(
         &self,
         kind: &'static str,
         method: Method,
         path: String,
         body: Bytes,
-        limit: Duration,
+        call_timeout: Duration,
     ) -> Result<Response<Bytes>, StoreError> {
-        let result = match is_plain(&path) {
-            true => self.client.simple(self.address, method, &path, body, limit).await,
-            // Such a key would need escapes, and the project's names need none.
+        let result = match is_unescaped(&path) {
+            true => self.client.simple(self.address, method, &path, body, call_timeout).await,
+            // Such a path would need percent-encoding, which no key of this project requires.
             false => {
-                count(kind, "invalid");
-                return Err(self.error(Step::Connect, format!("key with other characters: {path}")));
+                count_call(kind, "invalid");
+                return Err(
+                    self.error(Step::Connect, format!("unsupported character in the path {path}"))
+                );
             }
         };
         let label = match &result {
@@ -75,30 +83,34 @@
             Err(error) if error.step == Step::Timeout => "timeout",
             Err(_) => "failed",
         };
-        count(kind, label);
+        count_call(kind, label);
         Ok(result?)
     }
 
-    fn versioned(&self, response: Response<Bytes>) -> Result<Versioned, StoreError> {
+    /// Returns the body of a response with the version from its header.
+    fn parse_versioned(&self, response: Response<Bytes>) -> Result<Versioned, StoreError> {
         let version = response
             .headers()
             .get(VERSION_HEADER)
             .and_then(|value| value.to_str().ok())
             .and_then(|text| text.parse().ok())
-            .ok_or_else(|| self.decode_error("the version is missing"))?;
+            .ok_or_else(|| self.decode_error("the version header is missing or malformed"))?;
         Ok(Versioned { version, value: response.into_body() })
     }
 }
 
-fn count(kind: &'static str, result: &'static str) {
+/// Adds one to the counter of store calls.
+fn count_call(kind: &'static str, result: &'static str) {
     metrics::counter!("store_calls_total", "kind" => kind, "result" => result).increment(1);
 }
 
-fn is_plain(path: &str) -> bool {
+/// Tells whether a path has only characters that need no percent-encoding.
+fn is_unescaped(path: &str) -> bool {
     path.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"/-_.~:@?=&".contains(&byte))
 }
 
-fn is_key(key: &str) -> bool {
+/// Tells whether a key is non-empty and free of the separators of a query string.
+fn is_valid_key(key: &str) -> bool {
     !key.is_empty() && !key.contains(['?', '&', '='])
 }
 
@@ -107,30 +119,34 @@
         let path = format!("/kv/{key}");
         let response = self.call("get", Method::GET, path, Bytes::new(), self.timeout).await?;
         match response.status() {
-            StatusCode::OK => self.versioned(response).map(Some),
+            StatusCode::OK => self.parse_versioned(response).map(Some),
             StatusCode::NOT_FOUND => Ok(None),
-            _ => Err(self.unexpected(&response)),
+            _ => Err(self.status_error(&response)),
         }
     }
 
     async fn put(&self, key: &str, expect: u64, value: Bytes) -> Result<PutOutcome, StoreError> {
         match value.len() {
-            _ if !is_key(key) => return Err(self.error(Step::Connect, "malformed key")),
-            length if length > VALUE_LIMIT => {
-                return Err(self.error(Step::Connect, format!("value of {length} bytes")))
+            _ if !is_valid_key(key) => {
+                return Err(self.error(Step::Connect, "empty key, or key with `?`, `&` or `=`"))
+            }
+            length if length > MAX_VALUE_BYTES => {
+                return Err(
+                    self.error(Step::Connect, format!("value of {length} bytes is too large"))
+                )
             }
             _ => {}
         }
         let path = format!("/kv/{key}?expect={expect}");
         let response = self.call("put", Method::PUT, path, value, self.timeout).await?;
         let version = || {
-            let body: Result<Written, _> = serde_json::from_slice(response.body());
+            let body: Result<PutResponse, _> = serde_json::from_slice(response.body());
             body.map(|body| body.version).map_err(|error| self.decode_error(error))
         };
         match response.status() {
             StatusCode::OK => Ok(PutOutcome::Written(version()?)),
             StatusCode::CONFLICT => Ok(PutOutcome::Conflict(version()?)),
-            _ => Err(self.unexpected(&response)),
+            _ => Err(self.status_error(&response)),
         }
     }
 
@@ -139,11 +155,11 @@
         let response =
             self.call("delete", Method::DELETE, path, Bytes::new(), self.timeout).await?;
         match response.status() {
-            // The body is parsed so that a cut response is not taken for success.
+            // Parsing the body detects a truncated response, which must not count as success.
             StatusCode::OK => serde_json::from_slice::<serde_json::Value>(response.body())
                 .map(|_| ())
                 .map_err(|error| self.decode_error(error)),
-            _ => Err(self.unexpected(&response)),
+            _ => Err(self.status_error(&response)),
         }
     }
 
@@ -151,18 +167,18 @@
         let path = format!("/list/{prefix}");
         let response = self.call("list", Method::GET, path, Bytes::new(), self.timeout).await?;
         if response.status() != StatusCode::OK {
-            return Err(self.unexpected(&response));
+            return Err(self.status_error(&response));
         }
         let mut values = response.into_body();
         let line = values.iter().position(|byte| *byte == b'\n');
-        let line = line.ok_or_else(|| self.decode_error("the index is missing"))?;
+        let line = line.ok_or_else(|| self.decode_error("the list has no index line"))?;
         let index = values.split_to(line + 1);
-        let index: Vec<Listed> =
+        let index: Vec<ListEntry> =
             serde_json::from_slice(&index).map_err(|error| self.decode_error(error))?;
         let mut found = Vec::with_capacity(index.len());
-        for Listed { key, version, length } in index {
+        for ListEntry { key, version, length } in index {
             if values.len() < length {
-                return Err(self.decode_error("a value is cut"));
+                return Err(self.decode_error("a value in the list is truncated"));
             }
             found.push((key, Versioned { version, value: values.split_to(length) }));
         }
@@ -176,12 +192,12 @@
         wait: Duration,
     ) -> Result<Option<Versioned>, StoreError> {
         let path = format!("/watch/{key}?after={after}&wait_ms={}", wait.as_millis());
-        let limit = self.timeout + wait;
-        let response = self.call("watch", Method::GET, path, Bytes::new(), limit).await?;
+        let call_timeout = self.timeout + wait;
+        let response = self.call("watch", Method::GET, path, Bytes::new(), call_timeout).await?;
         match response.status() {
-            StatusCode::OK => self.versioned(response).map(Some),
+            StatusCode::OK => self.parse_versioned(response).map(Some),
             StatusCode::NO_CONTENT => Ok(None),
-            _ => Err(self.unexpected(&response)),
+            _ => Err(self.status_error(&response)),
         }
     }
 }
--- a/crates/store/src/journal/archive.rs
+++ b/crates/store/src/journal/archive.rs
@@ -1,31 +1,38 @@
-//! Snapshots, archived segments, and states of the past.
+//! Snapshots and archived segments of a journal, and reads of earlier states.
 
 use bytes::Bytes;
 
-use crate::journal::format::{decode, decode_state, encode, Log, Segment, Snap};
+use crate::journal::format::{decode, decode_state, encode, Log, Segment, Snapshot};
 use crate::journal::{JournalError, Replay};
-use crate::{PutOutcome, Store, StoreError, Versioned, VALUE_LIMIT};
+use crate::{PutOutcome, Store, StoreError, Versioned, MAX_VALUE_BYTES};
 
-const TRIES: usize = 4;
-/// Reads of log and snapshot that may meet a rotation in between before the reader gives up.
-const READ_TRIES: usize = 8;
-/// Segments of 32 KB kept for looking up the past; about three days at 20,000 changes of 500 bytes
-/// a day.
-const SEGMENTS_KEPT: usize = 1024;
+/// Maximum number of writes of one snapshot or segment.
+const MAX_ATTEMPTS: usize = 4;
+/// Maximum number of reads of log and snapshot before the reader gives up. A read is repeated when
+/// a rotation takes place between log and snapshot.
+const MAX_READS: usize = 8;
+/// Number of archived segments to keep. At 32 KB each they last about three days with 20,000 changes
+/// of 500 bytes a day.
+const MAX_SEGMENTS: usize = 1024;
 
+/// Returns the store key of a journal's log.
 pub(crate) fn log_key(name: &str) -> String {
     format!("{name}/log")
 }
 
-pub(crate) fn snap_key(name: &str) -> String {
+/// Returns the store key of a journal's snapshot.
+pub(crate) fn snapshot_key(name: &str) -> String {
     format!("{name}/snap")
 }
 
+/// Returns the store key of the segment whose first record has the sequence number `first`.
 pub(crate) fn segment_key(name: &str, first: u64) -> String {
     format!("{name}/archive/{first}")
 }
 
-fn or_default<T>(key: &str, found: Option<Versioned>) -> Result<(u64, T), JournalError>
+/// Decodes a value and returns it with its version. An absent key has the default value and
+/// version 0.
+fn decode_or_default<T>(key: &str, found: Option<Versioned>) -> Result<(u64, T), JournalError>
 where
     T: Default + serde::de::DeserializeOwned,
 {
@@ -35,42 +42,48 @@
     }
 }
 
-/// Reads log and snapshot. The log is read first: a snapshot never gets older, so it reaches up to
-/// the log's first record.
+/// Reads log and snapshot. The log is read first: snapshots are only replaced by newer ones, so the
+/// snapshot includes every record before the log.
 pub(crate) async fn read<S: Store>(
     store: &S,
     name: &str,
-) -> Result<(u64, Log, Snap), JournalError> {
-    let (log_key, snap_key) = (log_key(name), snap_key(name));
-    for _ in 0..READ_TRIES {
+) -> Result<(u64, Log, Snapshot), JournalError> {
+    let (log_key, snapshot_key) = (log_key(name), snapshot_key(name));
+    for _ in 0..MAX_READS {
         let found = store.get(&log_key).await.map_err(JournalError::Unavailable)?;
-        let (version, log): (_, Log) = or_default(&log_key, found)?;
-        let found = store.get(&snap_key).await.map_err(JournalError::Unavailable)?;
-        let (_, snap): (_, Snap) = or_default(&snap_key, found)?;
-        if log.first > snap.sequence + 1 {
-            let detail = format!("ends at {}, but the log begins at {}", snap.sequence, log.first);
-            return Err(JournalError::Corrupt { key: snap_key, detail });
+        let (version, log): (_, Log) = decode_or_default(&log_key, found)?;
+        let found = store.get(&snapshot_key).await.map_err(JournalError::Unavailable)?;
+        let (_, snapshot): (_, Snapshot) = decode_or_default(&snapshot_key, found)?;
+        if log.first > snapshot.sequence + 1 {
+            let detail =
+                format!("ends at {}, but the log begins at {}", snapshot.sequence, log.first);
+            return Err(JournalError::Corrupt { key: snapshot_key, detail });
         }
-        // A snapshot beyond the log shows that the log was rotated after it was read.
-        if log.last() >= snap.sequence {
-            return Ok((version, log, snap));
+        // A snapshot newer than the log means that the log was rotated after it was read.
+        if log.last() >= snapshot.sequence {
+            return Ok((version, log, snapshot));
         }
     }
     Err(JournalError::Corrupt { key: log_key, detail: "ends before the snapshot".into() })
 }
 
-/// Writes `value` to a key until what it holds satisfies `is_done`. Each write is conditional on
-/// what was read, so a paused writer never replaces something newer.
-async fn write_guarded<S, F>(store: &S, key: &str, mut make: F) -> Result<(), JournalError>
+/// Writes the result of `make_value`, which receives the stored value, until the write succeeds or
+/// `make_value` returns `None`. Each write is conditional on the version read, so a writer that was
+/// paused never replaces a newer value.
+async fn write_conditionally<S, F>(
+    store: &S,
+    key: &str,
+    mut make_value: F,
+) -> Result<(), JournalError>
 where
     S: Store,
     F: FnMut(Option<&Versioned>) -> Result<Option<Bytes>, JournalError> + Send,
 {
     let mut failure = None;
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         let found = store.get(key).await.map_err(JournalError::Unavailable)?;
-        let Some(value) = make(found.as_ref())? else { return Ok(()) };
-        if value.len() > VALUE_LIMIT {
+        let Some(value) = make_value(found.as_ref())? else { return Ok(()) };
+        if value.len() > MAX_VALUE_BYTES {
             return Err(JournalError::TooLarge);
         }
         match store.put(key, found.map_or(0, |found| found.version), value).await {
@@ -79,36 +92,38 @@
             Err(error) => failure = Some(error),
         }
     }
-    let other =
-        || StoreError::new(peridotfold_wire::error::Step::Receive, key, "repeated conflicts");
+    let other = || {
+        StoreError::new(peridotfold_wire::error::Step::Receive, key, "repeated version conflicts")
+    };
     Err(JournalError::Unavailable(failure.unwrap_or_else(other)))
 }
 
-/// Saves the snapshot of a log that is about to be cleared, and archives the log if asked to.
+/// Saves the snapshot that replaces `log`, and first archives the log if `is_archived` is set.
+/// Deletes the oldest segments beyond [`MAX_SEGMENTS`].
 pub(crate) async fn rotate<S: Store>(
     store: &S,
     name: &str,
     log: &Log,
-    new: &Snap,
+    snapshot: &Snapshot,
     is_archived: bool,
 ) -> Result<(), JournalError> {
-    let key = snap_key(name);
+    let key = snapshot_key(name);
     let found = store.get(&key).await.map_err(JournalError::Unavailable)?;
-    let (_, old): (_, Snap) = or_default(&key, found)?;
-    let mut new = new.clone();
-    new.segments = old.segments.clone();
+    let (_, previous): (_, Snapshot) = decode_or_default(&key, found)?;
+    let mut snapshot = snapshot.clone();
+    snapshot.segments = previous.segments.clone();
     let mut dropped = Vec::new();
-    if is_archived && archive(store, name, log, &old).await? {
-        if !new.segments.contains(&log.first) {
-            new.segments.push(log.first);
+    if is_archived && archive(store, name, log, &previous).await? {
+        if !snapshot.segments.contains(&log.first) {
+            snapshot.segments.push(log.first);
         }
-        let excess = new.segments.len().saturating_sub(SEGMENTS_KEPT);
-        dropped = new.segments.drain(..excess).collect();
+        let excess = snapshot.segments.len().saturating_sub(MAX_SEGMENTS);
+        dropped = snapshot.segments.drain(..excess).collect();
     }
-    let value = encode(&key, &new)?;
-    write_guarded(store, &key, |found| {
-        let (_, held): (_, Snap) = or_default(&key, found.cloned())?;
-        Ok((held.sequence < new.sequence).then(|| value.clone()))
+    let value = encode(&key, &snapshot)?;
+    write_conditionally(store, &key, |found| {
+        let (_, stored): (_, Snapshot) = decode_or_default(&key, found.cloned())?;
+        Ok((stored.sequence < snapshot.sequence).then(|| value.clone()))
     })
     .await?;
     for first in dropped {
@@ -119,45 +134,46 @@
     Ok(())
 }
 
-/// Archives a log; tells whether its segment is complete. A segment written by a process that
-/// stopped before the rotation is replaced if it is shorter.
+/// Archives a log as a segment. Returns `false` if that is impossible because the state before the
+/// log is no longer known. A shorter segment, left by a process that stopped during a rotation, is
+/// replaced.
 async fn archive<S: Store>(
     store: &S,
     name: &str,
     log: &Log,
-    old: &Snap,
+    previous: &Snapshot,
 ) -> Result<bool, JournalError> {
     let key = segment_key(name, log.first);
     let mut is_complete = true;
-    write_guarded(store, &key, |found| {
-        let base = match found {
+    write_conditionally(store, &key, |found| {
+        let base_state = match found {
             Some(found) => {
-                let held: Segment = decode(&key, &found.value)?;
-                if held.log.last() >= log.last() {
+                let stored: Segment = decode(&key, &found.value)?;
+                if stored.log.last() >= log.last() {
                     return Ok(None);
                 }
-                held.base
+                stored.base_state
             }
-            None if old.sequence + 1 == log.first => old.state.clone(),
+            None if previous.sequence + 1 == log.first => previous.state.clone(),
             None => {
                 tracing::warn!(event = "segment_not_archived", name, first = log.first);
                 is_complete = false;
                 return Ok(None);
             }
         };
-        encode(&key, &Segment { base, log: log.clone() }).map(Some)
+        encode(&key, &Segment { base_state, log: log.clone() }).map(Some)
     })
     .await?;
     Ok(is_complete)
 }
 
-/// Returns the state after the record `sequence` and that record, or `None` if the record does not
-/// exist or is no longer kept. Record 0 is the default state.
+/// Returns the record with the number `sequence` and the state after it, or `None` if that record
+/// does not exist or is no longer kept. Sequence number 0 yields the default state and no record.
 ///
 /// # Errors
 ///
-/// Fails when the store does not answer or holds something malformed.
-pub async fn past<S: Store, R: Replay>(
+/// Fails when the store is unavailable or holds a malformed value.
+pub async fn state_at<S: Store, R: Replay>(
     store: &S,
     name: &str,
     sequence: u64,
@@ -165,35 +181,38 @@
     if sequence == 0 {
         return Ok(Some((R::default(), None)));
     }
-    let (_, log, snap) = read(store, name).await?;
+    let (_, log, snapshot) = read(store, name).await?;
     if sequence > log.last() {
         return Ok(None);
     }
     let key = log_key(name);
-    if snap.sequence < sequence {
-        return replay(&key, &snap.state, snap.sequence, &log, sequence).map(Some);
+    if snapshot.sequence < sequence {
+        return replay(&key, &snapshot.state, snapshot.sequence, &log, sequence).map(Some);
     }
-    let Some(first) = snap.segments.iter().copied().rev().find(|first| *first <= sequence) else {
+    let Some(first) = snapshot.segments.iter().copied().rev().find(|first| *first <= sequence)
+    else {
         return Ok(None);
     };
     let key = segment_key(name, first);
     let found = store.get(&key).await.map_err(JournalError::Unavailable)?;
     match found.map(|found| decode::<Segment>(&key, &found.value)).transpose()? {
-        Some(Segment { base, log }) if log.last() >= sequence => {
-            replay(&key, &base, first - 1, &log, sequence).map(Some)
+        Some(Segment { base_state, log }) if log.last() >= sequence => {
+            replay(&key, &base_state, first - 1, &log, sequence).map(Some)
         }
         _ => Ok(None),
     }
 }
 
+/// Applies the records of `log` up to `sequence` to the encoded `base_state`, the state after the
+/// record `base_sequence`. Returns the state and the last record applied.
 fn replay<R: Replay>(
     key: &str,
-    base: &[u8],
+    base_state: &[u8],
     base_sequence: u64,
     log: &Log,
     sequence: u64,
 ) -> Result<(R, Option<R::Record>), JournalError> {
-    let mut state: R = decode_state(key, base)?;
+    let mut state: R = decode_state(key, base_state)?;
     let mut last = None;
     for (number, record) in log.records() {
         if number > base_sequence && number <= sequence {
--- a/crates/store/tests/suite/racing.rs
+++ b/crates/store/tests/suite/racing.rs
@@ -1,5 +1,6 @@
-//! Guards against two winners of one base version, versions that revert, and reports that do not
-//! agree with the history, while submitters race and the store loses responses and fails.
+//! Concurrent submissions of patches while the store loses responses and fails. Guards against two
+//! patches accepted for the same base version, versions that go backwards, and results reported to
+//! submitters that contradict the stored history.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -15,18 +16,21 @@
 use crate::repository::{cells, patch};
 use crate::{run, TIMEOUT};
 
+/// Number of concurrent submitters.
 const SUBMITTERS: u64 = 4;
+/// Number of patches of each submitter.
 const PATCHES: u32 = 25;
-/// Versions and their documents, as some process has shown them.
+/// Versions and their documents, as read through some repository.
 type Reads = Vec<(u64, Bytes)>;
 
+/// Results that the submitters received, by the marker of the patch.
 #[derive(Debug, Default)]
 struct Reports {
     accepted: Vec<(u64, String)>,
     rejected: Vec<String>,
     unknown: Vec<String>,
-    /// Base and author of the winner, as heard by losers.
-    heard: Vec<(u64, String)>,
+    /// Base version and author of the accepted patch, as reported to submitters of other patches.
+    winners: Vec<(u64, String)>,
     reads: Reads,
 }
 
@@ -37,12 +41,13 @@
     }
 }
 
+/// Runs the submitters and an observer, and checks their results.
 async fn race(seed: u64) {
     let stand_in = StandIn::start(Options { seed, ..Options::default() }).await.unwrap();
     let stand_in = Arc::new(stand_in);
     let store = HttpStore::new(stand_in.address(), TIMEOUT);
-    let is_over = Arc::new(AtomicBool::new(false));
-    let observer = runtime::spawn(observe(store.clone(), is_over.clone()));
+    let is_done = Arc::new(AtomicBool::new(false));
+    let observer = runtime::spawn(observe(store.clone(), is_done.clone()));
     let tasks: Vec<_> = (0..SUBMITTERS)
         .map(|index| runtime::spawn(submit_all(stand_in.clone(), store.clone(), seed, index)))
         .collect();
@@ -52,15 +57,16 @@
         all.accepted.extend(reports.accepted);
         all.rejected.extend(reports.rejected);
         all.unknown.extend(reports.unknown);
-        all.heard.extend(reports.heard);
+        all.winners.extend(reports.winners);
         all.reads.extend(reports.reads);
     }
     stand_in.set_faults(Faults::default());
-    is_over.store(true, Ordering::SeqCst);
+    is_done.store(true, Ordering::SeqCst);
     all.reads.extend(observer.await);
-    check(seed, &store, all).await;
+    check_history(seed, &store, all).await;
 }
 
+/// Opens a repository, and retries while the store is unavailable.
 async fn open(store: &HttpStore, writer: u64) -> ConfigRepository<HttpStore> {
     loop {
         match ConfigRepository::open(store.clone(), writer).await {
@@ -71,6 +77,7 @@
     }
 }
 
+/// Records the current version, which must never decrease.
 fn read(repository: &ConfigRepository<HttpStore>, reads: &mut Reads) -> u64 {
     let (version, document) = repository.current();
     let last = reads.last().map_or(0, |(version, _)| *version);
@@ -81,10 +88,11 @@
     version
 }
 
-async fn observe(store: HttpStore, is_over: Arc<AtomicBool>) -> Reads {
+/// Follows the versions until the submitters are done.
+async fn observe(store: HttpStore, is_done: Arc<AtomicBool>) -> Reads {
     let repository = open(&store, 1000).await;
     let mut reads = Vec::new();
-    while !is_over.load(Ordering::SeqCst) {
+    while !is_done.load(Ordering::SeqCst) {
         let version = read(&repository, &mut reads);
         match repository.wait_for_change(version, Duration::from_millis(50)).await {
             Ok(Some((found, _))) => assert!(found > version),
@@ -96,6 +104,7 @@
     reads
 }
 
+/// Submits all patches of one submitter. Submitter 0 also sets the faults of the store.
 async fn submit_all(stand_in: Arc<StandIn>, store: HttpStore, seed: u64, index: u64) -> Reports {
     let mut random = fastrand::Rng::with_seed(seed * 100 + index);
     let mut repository = open(&store, index + 1).await;
@@ -108,11 +117,11 @@
             stand_in.set_faults(Faults { mode, lose_probability, ..Faults::default() });
         }
         if random.u32(..12) == 0 {
-            repository = open_again(&stand_in, &store, index, number).await;
+            repository = reopen(&stand_in, &store, index, number).await;
         }
         let marker = format!("m-{index}-{number}");
         let patch = patch(&marker, 2000);
-        // A loser tries again on the version that it has heard of, with the same marker.
+        // If another patch was accepted first, retries on the new version with the same marker.
         for _ in 0..30 {
             let base = read(&repository, &mut reports.reads);
             match repository.submit(base, patch.clone(), &author).await {
@@ -125,7 +134,7 @@
                     assert!(current > base);
                     assert!(read(&repository, &mut reports.reads) >= current);
                     if !author.is_empty() {
-                        reports.heard.push((base, author));
+                        reports.winners.push((base, author));
                     }
                 }
                 Err(SubmitError::Unavailable(_)) => {
@@ -141,14 +150,15 @@
         }
     }
     if index == 0 {
-        // An outage that nobody ends would keep the other submitters waiting for the store.
+        // Only this submitter changes the faults, so it must end an outage before it returns:
+        // the others would wait for the store.
         stand_in.set_faults(Faults::default());
     }
     reports
 }
 
-/// Replaces a submitter's process, as when its VM restarts.
-async fn open_again(
+/// Opens a new repository as a new writer, as after a restart of the submitter's process.
+async fn reopen(
     stand_in: &StandIn,
     store: &HttpStore,
     index: u64,
@@ -160,11 +170,12 @@
     open(store, (index + 1) * 10_000 + u64::from(number)).await
 }
 
-async fn check(seed: u64, store: &HttpStore, reports: Reports) {
+/// Compares the reported results with the stored history.
+async fn check_history(seed: u64, store: &HttpStore, reports: Reports) {
     let repository = open(store, 5000).await;
     let (last, _) = repository.current();
     assert!(!reports.accepted.is_empty());
-    // One total order: each version adds exactly one marker to the version before it.
+    // The order is total: each version adds exactly one marker to the previous version.
     let mut documents = BTreeMap::new();
     let mut order: Vec<String> = Vec::new();
     let mut known = BTreeSet::new();
@@ -195,7 +206,7 @@
         let is_reported = accepted.contains(marker) || reports.unknown.contains(marker);
         assert!(is_reported, "seed {seed}: {marker} was applied without a report");
     }
-    for (base, winner) in &reports.heard {
+    for (base, winner) in &reports.winners {
         assert_eq!(*winner, author(base + 1), "seed {seed}: winner of base {base}");
     }
     for (version, document) in &reports.reads {
@@ -206,6 +217,6 @@
         reports.accepted.len(),
         reports.rejected.len(),
         reports.unknown.len(),
-        reports.heard.len()
+        reports.winners.len()
     );
 }
