--- a/crates/core/src/flow/interference.rs
+++ b/crates/core/src/flow/interference.rs
@@ -11,27 +11,27 @@
 
 use super::message::{Image, Sample, WEIGHT_SCALE};
 
-/// Weight of a pair before anything is learned. Observed weights range from 0 to 6; most are below
-/// 0.5.
+/// Interference weight of a pair of images before anything is learned. Observed weights range from
+/// 0 to 6; most are below 0.5.
 pub const INITIAL_WEIGHT: f64 = 1.0;
-/// Variance of the weight of a pair before anything is learned.
+/// Variance of the interference weight of a pair of images before anything is learned.
 const INITIAL_VARIANCE: f64 = 4.0;
-/// Minimum of a learned weight. Weights below zero are due to noise.
+/// Minimum of a learned interference weight. Weights below zero are due to noise.
 const MIN_WEIGHT: f64 = -1.0;
-/// Maximum of a learned weight: twice the largest observed one.
+/// Maximum of a learned interference weight: twice the largest observed one.
 const MAX_WEIGHT: f64 = 12.0;
 /// Variance of the change of a tail latency's logarithm between two listings that is caused by the
 /// serving task's own load.
 const NOISE_VARIANCE: f64 = 0.1;
-/// Variance added to a weight with each sample, because weights drift over time.
+/// Variance added to an interference weight with each sample, because weights drift over time.
 const DRIFT_VARIANCE: f64 = 1e-3;
 /// Limit to which changes of the logarithm of a tail latency between two listings are clamped.
 const MAX_RISE: f64 = 1.0;
 /// Logarithm of the initially assumed tail latency without best-effort tasks, as a fraction of its
 /// target: about half the target.
 const INITIAL_BASELINE: f64 = -0.75;
-/// Smoothing factor of the baseline: the share of a new value, which arrives each second. The load
-/// varies within a few seconds.
+/// Smoothing factor of a [`Baseline`]: the share of a new value, which arrives each second. The
+/// load varies within a few seconds.
 const BASELINE_SMOOTHING: f64 = 0.3;
 /// Minimum tail latency in percent of its target; lower values cannot be told from zero.
 const MIN_TAIL_PERCENT: u32 = 5;
@@ -39,7 +39,7 @@
 /// A best-effort image and the fraction of a worker's CPU that it uses.
 pub type Share = (Image, f64);
 
-/// A learned weight, as stored for the next owner.
+/// The learned interference weight of a pair of images, as stored for the next owner.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct InterferenceRow {
     pub serving: Image,
@@ -48,7 +48,7 @@
     pub variance: f32,
 }
 
-/// Estimate of the weight of a pair of images.
+/// Estimate of the interference weight of a pair of images.
 #[derive(Debug, Clone, Copy)]
 struct Weight {
     mean: f64,
@@ -61,7 +61,7 @@
     }
 }
 
-/// Learned weights by serving and best-effort image.
+/// Learned interference weights by serving and best-effort image.
 #[derive(Debug, Clone, Default)]
 pub struct Interference {
     weights: HashMap<(Image, Image), Weight>,
@@ -93,7 +93,7 @@
 }
 
 impl Interference {
-    /// Returns the learned weights for storage.
+    /// Returns the learned weight of each pair of images, to be stored.
     pub fn rows(&self) -> Vec<InterferenceRow> {
         let row = |((serving, best_effort), weight): (&(Image, Image), &Weight)| InterferenceRow {
             serving: *serving,
@@ -115,20 +115,20 @@
         }
     }
 
-    /// Returns the weight of a pair of images.
+    /// Returns the interference weight of a pair of images, at least 0.
     pub fn weight(&self, serving: Image, best_effort: Image) -> f64 {
         self.weights
             .get(&(serving, best_effort))
             .map_or(INITIAL_WEIGHT, |weight| weight.mean.max(0.0))
     }
 
-    /// Returns the weight of a pair in units of 1 / [`WEIGHT_SCALE`].
+    /// Returns the interference weight of a pair of images in units of 1 / [`WEIGHT_SCALE`].
     pub fn scaled_weight(&self, serving: Image, best_effort: Image) -> u32 {
         (self.weight(serving, best_effort) * WEIGHT_SCALE) as u32
     }
 
     /// Returns the expected rise of the logarithm of a serving image's tail latency caused by
-    /// best-effort tasks with these shares.
+    /// best-effort images that use these fractions of a worker's CPU.
     pub fn rise(&self, serving: Image, shares: &[Share]) -> f64 {
         shares.iter().map(|(best_effort, share)| self.weight(serving, *best_effort) * share).sum()
     }
--- a/crates/core/src/flow/message.rs
+++ b/crates/core/src/flow/message.rs
@@ -12,18 +12,21 @@
 
 /// Sequence number of an end within one incarnation of a worker.
 pub type EndNumber = u64;
-/// Factor by which interference weights are multiplied to send them as integers.
+/// Factor by which the interference weights of image pairs are multiplied to send them as integers.
 pub const WEIGHT_SCALE: f64 = 1_000.0;
 /// Hash of the name of the program that a task runs.
 pub type Image = u32;
-/// Fencing token of an order: the owner's epoch, the session, and a counter within the session. A
-/// worker refuses orders with a lower token than the highest it has received.
+/// Fencing token of an order to a worker: the owner's epoch, the number of the agent's session, and
+/// a counter within the session. A worker refuses orders with a lower token than the highest that
+/// it has received.
 pub type Token = u64;
 
+/// Position of the session number in a token; the bits below hold the counter.
 const SESSION_SHIFT: u32 = 12;
+/// Position of the owner's epoch in a token.
 const EPOCH_SHIFT: u32 = 32;
 
-/// Returns the lowest token of a session.
+/// Returns the lowest token of an agent's session with the owner of an epoch.
 pub fn session_token(epoch: u32, session: u32) -> Token {
     (u64::from(epoch) << EPOCH_SHIFT) | (u64::from(session) << SESSION_SHIFT)
 }
@@ -31,11 +34,13 @@
 /// How a run ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndKind {
+    /// The task has finished.
     Done,
     /// The task or the worker failed.
     Failed,
+    /// The owner ordered to stop the run.
     Stopped,
-    /// The worker's permission expired.
+    /// The worker's permission to run tasks expired.
     Lapsed,
     /// Another task of the same gang ended.
     Broken,
@@ -43,14 +48,14 @@
     Alone,
 }
 
-/// The end of a run. A worker lists each end until it is acknowledged.
+/// The end of a run. A worker includes each end in its listings until the owner acknowledges it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct End {
     pub number: EndNumber,
     pub task: TaskId,
     pub run: Run,
     pub kind: EndKind,
-    /// Newest checkpoint; empty if there is none.
+    /// Newest checkpoint of the run; empty if there is none.
     pub checkpoint: String,
 }
 
@@ -59,7 +64,7 @@
 pub struct Running {
     pub task: TaskId,
     pub run: Run,
-    /// Newest checkpoint; empty if there is none.
+    /// Newest checkpoint of the run; empty if there is none.
     pub checkpoint: String,
     /// Progress in percent; 100 for a long-running task that is ready.
     pub percent: u32,
@@ -70,13 +75,15 @@
 /// Description of one incarnation of a worker.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerInfo {
-    /// Unique for each incarnation.
+    /// Worker ID; unique for each incarnation.
     pub id: String,
     pub service: String,
     pub zone: String,
     pub capacity: Resources,
-    /// Machine kind, then rack.
+    /// Labels that a step may require; by convention the machine kind comes first and the rack
+    /// second.
     pub labels: Vec<String>,
+    /// Whether the worker is shutting down and accepts no more tasks.
     pub draining: bool,
     /// Minimum time until a draining worker exits.
     pub remaining: Option<Duration>,
@@ -87,14 +94,14 @@
 pub struct TaskTraits {
     pub long_running: bool,
     pub best_effort: bool,
-    /// Target for the tail latency; 0 if there is none.
+    /// Target for the tail latency, in milliseconds; 0 if there is none.
     pub target_ms: u32,
     /// Requested CPU in thousandths of a core.
     pub cpu_milli: u64,
     pub image: Image,
 }
 
-/// Changes on a worker between two successive listings.
+/// Changes of tail latency and CPU usage on a worker between two successive listings of its tasks.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sample {
     /// Mean change of the natural logarithm of the tail latency by serving image, in thousandths.
@@ -109,10 +116,12 @@
     pub task: TaskId,
     pub run: Run,
     pub command: String,
+    /// Checkpoint from which the task continues; empty to start from the beginning.
     pub checkpoint: String,
     pub ticket: String,
     pub traits: TaskTraits,
-    /// Interference weights of the task's image on each serving image of the worker.
+    /// Interference weight of a best-effort task's image on each serving image of the worker, in
+    /// units of 1 / [`WEIGHT_SCALE`]; empty for other tasks.
     pub weights: Vec<(Image, u32)>,
 }
 
@@ -134,42 +143,23 @@
 /// Message from an agent to the owner.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AgentMessage {
-    /// The worker's state, listed after it began to refuse the orders of older sessions. `worker`
-    /// is `None` if no worker runs on the node.
-    Attach {
-        worker: Option<WorkerInfo>,
-        running: Vec<Running>,
-        ends: Vec<End>,
-    },
-    Ends {
-        worker: String,
-        ends: Vec<End>,
-    },
-    /// The start was not carried out and will not be carried out later.
-    NotStarted {
-        task: TaskId,
-        run: Run,
-        reason: String,
-    },
+    /// First report in a session: the runs and ends that the worker listed after it began to refuse
+    /// orders of older sessions. `worker` is `None` if no worker runs on the node.
+    Attach { worker: Option<WorkerInfo>, running: Vec<Running>, ends: Vec<End> },
+    /// Ends that the agent has not sent before in this session.
+    Ends { worker: String, ends: Vec<End> },
+    /// The start of the run was not carried out and will not be carried out later.
+    NotStarted { task: TaskId, run: Run, reason: String },
     /// The worker is shutting down; `remaining` is the minimum time until it exits.
-    Draining {
-        worker: String,
-        remaining: Option<Duration>,
-    },
+    Draining { worker: String, remaining: Option<Duration> },
     /// The worker process has exited, and all its runs with it.
-    Gone {
-        worker: String,
-    },
+    Gone { worker: String },
     /// Newest checkpoints of runs in progress.
-    Checkpoints {
-        rows: Vec<(TaskId, Run, String)>,
-    },
+    Checkpoints { rows: Vec<(TaskId, Run, String)> },
     /// The run makes no progress.
-    Stalled {
-        task: TaskId,
-        run: Run,
-    },
-    /// Asks to renew the permission; `sent` is the agent's clock and is echoed in the answer.
+    Stalled { task: TaskId, run: Run },
+    /// Asks to renew the worker's permission to run tasks, and reports the load on the worker.
+    /// `sent` is the time on the agent's clock and is echoed in the answer.
     Ping {
         sent: Duration,
         pressure: Pressure,
@@ -183,7 +173,7 @@
 /// Message from the owner to an agent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OwnerMessage {
-    /// Opens a session.
+    /// Opens a session of the agent with the owner. `token` is the lowest token of the session.
     Welcome {
         token: Token,
         /// Other entries to connect to when this one fails.
@@ -198,7 +188,8 @@
         task: TaskId,
         run: Run,
     },
-    /// Acknowledges that ends up to `number` are durable.
+    /// Acknowledges the ends of runs on the worker up to sequence number `number`: their effects
+    /// are durable, so the worker no longer lists them.
     Seen {
         worker: String,
         number: EndNumber,
@@ -207,14 +198,15 @@
     Traits {
         rows: Vec<(TaskId, TaskTraits)>,
     },
-    /// Extends the permission to `sent` plus `permission`. `permission` is zero while the owner
-    /// cannot renew its lease: the agent then checks for another owner and stays connected if there
-    /// is none.
+    /// Extends the worker's permission to run tasks until `sent` plus `permission`. `permission` is
+    /// zero while the owner cannot renew its lease: the agent then checks for another owner and
+    /// stays connected if there is none.
     Pong {
         sent: Duration,
         permission: Duration,
         entries: Vec<SocketAddr>,
-        /// Interference weights by serving and best-effort image.
+        /// Interference weight of each pair of a serving and a best-effort image on the worker, in
+        /// units of 1 / [`WEIGHT_SCALE`].
         weights: Vec<(Image, Image, u32)>,
     },
 }
@@ -222,25 +214,16 @@
 /// Request from an entry process to the owner. `query` is echoed in the reply.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EntryRequest {
-    State {
-        query: u64,
-        job: JobNumber,
-    },
-    Waiting {
-        query: u64,
-        queue: String,
-    },
+    /// Asks for the phase of a job.
+    State { query: u64, job: JobNumber },
+    /// Asks for the number of jobs of a queue of which no task has started yet.
+    Waiting { query: u64, queue: String },
     /// Stores a job on behalf of an entry that cannot write to the store. `record` is the encoded
     /// job.
-    Submit {
-        query: u64,
-        job: JobNumber,
-        record: Bytes,
-    },
-    Cancel {
-        query: u64,
-        job: JobNumber,
-    },
+    Submit { query: u64, job: JobNumber, record: Bytes },
+    /// Stores a cancellation of a job.
+    Cancel { query: u64, job: JobNumber },
+    /// Asks whether the owner holds a valid lease.
     Ping,
 }
 
@@ -251,6 +234,7 @@
     Redirect {
         owner: Option<SocketAddr>,
     },
+    /// Phase of the job; `None` if the job is not known.
     State {
         query: u64,
         state: Option<Phase>,
@@ -259,18 +243,20 @@
         query: u64,
         count: Option<u64>,
     },
+    /// Answers a submission or a cancellation.
     Stored {
         query: u64,
         outcome: Stored,
     },
-    /// `is_valid` tells whether the owner holds a valid lease.
+    /// Answers a ping. `entries` are the addresses of other entry processes; `is_valid` tells
+    /// whether the owner holds a valid lease.
     Pong {
         entries: Vec<SocketAddr>,
         is_valid: bool,
     },
 }
 
-/// Outcome of storing a job or a cancellation.
+/// Answer to a request to store a job or a cancellation: whether its record is in the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Stored {
     /// The record is durable, from this request or an earlier one.
@@ -286,6 +272,8 @@
 /// First message on an internal connection; identifies the client.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Greeting {
+    /// The agent on a node.
     Agent { node: String },
+    /// The entry process on a node, and the address at which it accepts connections.
     Entry { node: String, address: SocketAddr },
 }
--- a/crates/core/src/flow/model.rs
+++ b/crates/core/src/flow/model.rs
@@ -9,7 +9,7 @@
 
 /// Number of a job; callers write it as 16 hexadecimal digits.
 pub type JobNumber = u64;
-/// Number of a run of a task; increases with each start.
+/// Number of a run of a task; increases with each start of the task.
 pub type Run = u32;
 /// Wall-clock time in milliseconds since the Unix epoch.
 pub type WallMs = u64;
@@ -67,34 +67,39 @@
 /// Queue of a job, as configured when the job was submitted.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Queue {
-    /// Host and path prefix.
+    /// Host and path prefix of the requests that submit jobs to the queue.
     pub name: String,
+    /// Service of the workers that may run the tasks.
     pub service: String,
     /// 0 is the highest priority.
     pub priority: u8,
     /// Number of failures of one task after which the job fails.
     pub attempts: u32,
-    /// A job's completion objective is `stretch` times its critical path plus `slack_ms`.
+    /// Factor on the critical path of a job: its completion objective is `stretch` times the
+    /// estimated duration of the path plus `slack_ms`.
     pub stretch: f64,
+    /// Constant part of the completion objective, in milliseconds.
     pub slack_ms: u64,
+    /// Whether and how an external advisor is asked; `None` if it is not.
     pub advice: Option<AdvicePolicy>,
 }
 
 /// A step of a job: `count` identical tasks.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Step {
+    /// Number of tasks.
     pub count: u32,
     /// Resources that one task requests.
     pub need: Resources,
     /// Estimated duration of one task, in milliseconds.
     pub estimate_ms: u64,
-    /// Indices of the steps that must be done first.
+    /// Indices of the steps of the job that must be done before this one starts.
     pub after: Vec<u16>,
-    /// Whether tasks write checkpoints.
+    /// Whether tasks write checkpoints, from which a later run of the task continues.
     pub has_checkpoints: bool,
     /// Whether all tasks must run at the same time.
     pub gang: bool,
-    /// Whether tasks slow down when spread over several racks.
+    /// Whether tasks should run on one rack because they slow down when spread over several racks.
     pub same_rack: bool,
     /// Label that the worker must have.
     pub required_label: Option<String>,
@@ -130,6 +135,7 @@
 pub struct Timetable {
     /// Due time of the first occurrence.
     pub first: WallMs,
+    /// Time between the due times of two occurrences.
     pub interval_ms: u64,
     /// Number of occurrences.
     pub times: u32,
@@ -139,9 +145,10 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
     pub queue: Queue,
-    /// Passed to the worker unchanged.
+    /// Command that the worker executes for each task; passed on unchanged.
     pub command: String,
     pub steps: Vec<Step>,
+    /// Schedule; `None` if the job runs once.
     pub timetable: Option<Timetable>,
     /// Time of submission by the clock of the entry process.
     pub submitted: WallMs,
--- a/crates/core/src/flow/node.rs
+++ b/crates/core/src/flow/node.rs
@@ -22,13 +22,15 @@
 
 /// Lower bound on the rate of a worker's clock relative to the agent's.
 const CLOCK_RATE_PERCENT: u32 = 98;
-/// Interval between requests to renew the permission.
+/// Interval between the pings that ask the owner to renew the worker's permission to run tasks.
 const PING_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Delay before the next listing while the worker has unacknowledged ends.
+/// Delay before the next listing while the owner has not acknowledged all ends of the worker.
 const UNACKED_DELAY: Duration = Duration::from_millis(60);
-/// Delay before a failed listing is retried; stops are retried after three times as long.
+/// Delay before a failed listing is requested again; stops are sent again after three times as
+/// long.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
-/// Long-poll timeout of a listing; bounds the age of the worker's permission and of checkpoints.
+/// Long-poll timeout of a listing; bounds the age of the worker's permission and of checkpoints,
+/// both of which listings transfer.
 const MAX_LIST_WAIT: Duration = Duration::from_millis(1_000);
 /// Long-poll timeout of a listing while best-effort tasks run beside serving tasks.
 const PACING_LIST_WAIT: Duration = Duration::from_millis(450);
@@ -42,8 +44,9 @@
 /// A request to the worker.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Call {
-    /// Lists runs and ends, acknowledges ends up to `acknowledged`, and renews the permission until
-    /// `deadline` by the worker's clock in milliseconds.
+    /// Requests a listing of the runs in progress and the unacknowledged ends. Acknowledges the
+    /// ends up to sequence number `acknowledged`, and permits the worker to run tasks until
+    /// `deadline` by its own clock in milliseconds. The worker answers after `wait` at the latest.
     List {
         worker: String,
         token: Token,
@@ -51,36 +54,23 @@
         deadline: Option<u64>,
         wait: Duration,
     },
-    /// Starts a task, unless it arrives after `deadline` by the worker's clock.
-    Start {
-        worker: String,
-        token: Token,
-        deadline: u64,
-        start: Box<Start>,
-    },
-    Stop {
-        worker: String,
-        token: Token,
-        task: TaskId,
-        run: Run,
-    },
+    /// Starts a task, unless the call arrives after `deadline` by the worker's clock in
+    /// milliseconds.
+    Start { worker: String, token: Token, deadline: u64, start: Box<Start> },
+    /// Stops a run.
+    Stop { worker: String, token: Token, task: TaskId, run: Run },
     /// Limits the CPU of a best-effort task to `percent` of its request.
-    Pace {
-        worker: String,
-        token: Token,
-        task: TaskId,
-        run: Run,
-        percent: u32,
-    },
+    Pace { worker: String, token: Token, task: TaskId, run: Run, percent: u32 },
 }
 
-/// Outcome of a call other than a successful listing.
+/// Outcome of a call to the worker, except a successful listing.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
+    /// The worker has carried out the call.
     Done,
     /// The worker refused the call and will not carry it out later.
     Refused(String),
-    /// The worker has received a higher token.
+    /// The worker refused the call because it has received a higher fencing token.
     OldToken,
     /// Another incarnation of the worker answers at the address.
     OtherLife,
@@ -90,48 +80,54 @@
     Unclear,
 }
 
-/// Side effect that the caller of the state machine has to perform.
+/// Side effect that the agent's state machine requests from the code that drives it.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
+    /// Calls the worker.
     Call(Call),
+    /// Sends a message to the owner.
     Send(AgentMessage),
     Log(Decision),
-    /// Ends the session, because the worker obeys a newer one.
+    /// Ends the session with the owner, because the worker obeys orders of a newer session.
     Reconnect,
 }
 
 /// State of a run as far as the agent knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum RunState {
-    /// The start was sent and not answered yet.
+    /// The worker has not answered the start call yet.
     Starting,
+    /// The worker has accepted the start or listed the run.
     Running,
-    /// The answer to the start was lost. A listing with at least this token shows whether the run
-    /// exists.
+    /// The answer to the start call was lost. A listing with at least this token shows whether the
+    /// run exists.
     Doubtful(Token),
 }
 
-/// A run that the owner ordered or the worker listed.
+/// A run on the agent's worker, as the agent tracks it. It becomes known when the owner orders the
+/// start, or when the worker lists it at the beginning of a session.
 #[derive(Debug, Clone)]
 struct LocalRun {
     run: Run,
     state: RunState,
     traits: TaskTraits,
-    /// When the start was answered or the run was first listed.
+    /// When the worker accepted the start, or listed the run at the beginning of the session.
     started_at: Time,
     /// Whether the owner ordered a stop.
     must_stop: bool,
     /// When the last stop was sent to the worker.
     stop_sent: Option<Time>,
-    /// Progress in the last listing.
+    /// Progress of the run in the last listing, in percent.
     percent: u32,
     /// When the run last made progress, or was not expected to.
     progress_at: Time,
+    /// Newest checkpoint; empty if there is none.
     checkpoint: String,
     /// Whether the owner has been sent the newest checkpoint.
     checkpoint_sent: bool,
     /// CPU limit in force, in percent of the request; `u32::MAX` if it is not known.
     pace: u32,
+    /// Whether the owner has been told that the run makes no progress.
     stall_reported: bool,
 }
 
@@ -139,22 +135,23 @@
 #[derive(Debug)]
 struct Worker {
     info: WorkerInfo,
-    /// Sequence number of the newest heartbeat.
+    /// Sequence number of the worker's newest heartbeat.
     last_sequence: u64,
     /// The worker's clock in milliseconds in the last listing, and the agent's time when it
     /// arrived.
     clock: Option<(u64, Time)>,
-    /// Highest end that the owner has acknowledged.
+    /// Sequence number of the last end of a run that the owner has acknowledged; 0 if none.
     acknowledged: EndNumber,
-    /// Highest end that was sent to the owner.
+    /// Sequence number of the last end of a run that was sent to the owner; 0 if none.
     forwarded: EndNumber,
-    /// Consecutive refused connections.
+    /// Number of consecutive connections that the worker's address has refused.
     refusals: u32,
 }
 
-/// A session with the owner.
+/// The agent's session with the owner.
 #[derive(Debug)]
 struct Session {
+    /// Fencing token of the agent's next call to the worker.
     token: Token,
     /// Whether the worker's state has been sent to the owner in this session.
     is_attached: bool,
@@ -163,25 +160,33 @@
 /// State of the agent.
 #[derive(Debug, Default)]
 pub struct AgentState {
+    /// The current worker; `None` if none has answered a listing since the last one exited.
     worker: Option<Worker>,
     /// A worker that has sent a heartbeat but has not answered a listing yet, and the sequence
     /// number of the heartbeat.
     candidate: Option<(WorkerInfo, u64)>,
-    /// Whether the last worker is known to have exited.
-    worker_ended: bool,
+    /// Whether the last worker process is known to have exited and no other has answered a listing
+    /// since.
+    worker_exited: bool,
+    /// Session with the owner; `None` while the agent is not connected.
     session: Option<Session>,
+    /// Runs on the worker.
     runs: BTreeMap<TaskId, LocalRun>,
-    /// When the permission from the owner expires.
+    /// When the worker's permission to run tasks expires, as last granted by the owner.
     permission_until: Time,
-    /// Token and start of the listing in flight.
+    /// Token of the listing request in flight, and when the request was sent.
     listing: Option<(Token, Time)>,
+    /// When the next listing is requested from the worker.
     next_list: Time,
+    /// When the next ping is sent to the owner.
     next_ping: Time,
+    /// When new checkpoints are next reported to the owner.
     next_checkpoint_report: Time,
     pacer: Pacer,
     sampler: Sampler,
-    /// Samples collected since the last ping.
+    /// Changes of usage observed since the last ping, which the next ping reports.
     samples: Vec<Sample>,
+    /// Side effects that have not been taken yet.
     actions: Vec<Action>,
 }
 
@@ -243,7 +248,8 @@
         self.session.as_ref().is_some_and(|session| session.is_attached)
     }
 
-    /// Forgets a worker that has exited and reports its exit to the owner.
+    /// Forgets the current worker after its process has exited, and reports the exit to the owner.
+    /// `reason` tells in the log how the exit became known.
     fn lose_worker(&mut self, reason: &str) {
         let Some(worker) = self.worker.take() else { return };
         let detail = format!("worker={} reason={reason} runs={}", worker.info.id, self.runs.len());
@@ -251,14 +257,14 @@
         self.runs.clear();
         self.pacer = Pacer::default();
         self.sampler = Sampler::default();
-        self.worker_ended = true;
+        self.worker_exited = true;
         self.listing = None;
         if self.is_attached() {
             self.actions.push(Action::Send(AgentMessage::Gone { worker: worker.info.id }));
         }
     }
 
-    /// Handles the loss of the connection to the owner.
+    /// Handles the loss of the connection to the owner, which ends the session.
     pub fn disconnected(&mut self) {
         self.session = None;
         self.listing = None;
@@ -307,15 +313,16 @@
         self.poll(now);
     }
 
-    /// Returns the time on the worker's clock at which a permission until `until` expires. The
-    /// result is early enough for a worker whose clock runs slow.
+    /// Converts `until`, a time on the agent's clock, to milliseconds on the worker's clock. The
+    /// result is early enough for a worker whose clock runs slow. Returns `None` before the first
+    /// listing.
     fn worker_deadline(&self, until: Time) -> Option<u64> {
         let (clock, at) = self.worker.as_ref()?.clock?;
         let left = until.checked_sub(at)? * CLOCK_RATE_PERCENT / 100;
         Some(clock + left.as_millis() as u64)
     }
 
-    /// Handles an order to start a task.
+    /// Handles the owner's order to start a task.
     fn start_task(&mut self, now: Time, start: Box<Start>) {
         let (task, run) = (start.task, start.run);
         let deadline = self.worker_deadline(self.permission_until);
@@ -362,7 +369,7 @@
         }
     }
 
-    /// Handles an order to stop a run.
+    /// Handles the owner's order to stop a run.
     fn stop(&mut self, now: Time, task: TaskId, run: Run) {
         match self.runs.get_mut(&task).filter(|known| known.run == run) {
             Some(known) => known.must_stop = true,
@@ -371,7 +378,7 @@
         self.send_stops(now);
     }
 
-    /// Sends the stops that are due to the worker.
+    /// Sends the worker a stop call for each run that must stop, or repeats it if the run goes on.
     fn send_stops(&mut self, now: Time) {
         let Some(token) = self.session.as_ref().map(|session| session.token) else { return };
         let Some(worker) = self.worker.as_ref().map(|worker| worker.info.id.clone()) else {
@@ -387,7 +394,7 @@
         }
     }
 
-    /// Handles the outcome of a start call.
+    /// Handles the outcome of a start call to the worker.
     pub fn started(&mut self, now: Time, worker: &str, task: TaskId, run: Run, outcome: Outcome) {
         if self.worker.as_ref().is_none_or(|known| known.info.id != worker) {
             return;
@@ -423,7 +430,8 @@
         self.poll(now);
     }
 
-    /// Handles the failure of a stop or pace call.
+    /// Handles the failure of a stop or pace call to the worker for a task. A stop is sent again
+    /// after a delay.
     pub fn order_failed(&mut self, task: TaskId) {
         if let Some(run) = self.runs.get_mut(&task) {
             // An out-of-range value makes the next listing send the pace again.
@@ -431,7 +439,7 @@
         }
     }
 
-    /// Handles a failed listing.
+    /// Handles the failure of a request for a listing.
     pub fn list_failed(&mut self, now: Time, worker: &str, token: Token, outcome: &Outcome) {
         self.listing = self.listing.filter(|(listing, _)| *listing != token);
         self.next_list = now + RETRY_DELAY;
@@ -460,7 +468,7 @@
         self.poll(now);
     }
 
-    /// Performs all actions that are due.
+    /// Requests all side effects that are due.
     pub fn poll(&mut self, now: Time) {
         let Some(session) = &self.session else { return };
         let (token, is_attached) = (session.token, session.is_attached);
@@ -476,7 +484,7 @@
                 baselines,
             }));
         }
-        if self.worker_ended && self.worker.is_none() && !is_attached && self.candidate.is_none() {
+        if self.worker_exited && self.worker.is_none() && !is_attached && self.candidate.is_none() {
             // The last worker has exited, so none of its tasks still run.
             if let Some(session) = &mut self.session {
                 session.is_attached = true;
--- a/crates/core/src/flow/node/listing.rs
+++ b/crates/core/src/flow/node/listing.rs
@@ -1,4 +1,5 @@
-//! Handling of listings: updates the agent's table of runs and forwards ends to the owner.
+//! Handling of a worker's listings: updates the agent's table of runs and forwards the ends of runs
+//! to the owner.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,13 +9,14 @@
 use crate::flow::model::TaskId;
 use crate::time::Time;
 
-/// Time without progress after which a run is reported as stalled.
+/// Time without progress after which a run is reported to the owner as stalled.
 const STALL_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Pace in percent below which a best-effort task is not expected to show progress.
 const MIN_STALL_PACE: u32 = 50;
 
 impl AgentState {
-    /// Handles a listing; `clock` is the worker's clock in milliseconds.
+    /// Handles a listing of the runs and ends on a worker. `token` is the token of the request, and
+    /// `clock` the worker's clock in milliseconds.
     pub fn listed(
         &mut self,
         now: Time,
@@ -57,13 +59,13 @@
         self.poll(now);
     }
 
-    /// Makes the candidate the current worker if it is the one that answered.
+    /// Makes the candidate the current worker if its ID is `id`, the worker that sent the listing.
     fn adopt_worker(&mut self, id: &str) {
         let is_candidate = self.candidate.as_ref().is_some_and(|(info, _)| info.id == id);
         match self.candidate.take() {
             Some((info, last_sequence)) if is_candidate => {
                 self.lose_worker("replaced");
-                self.worker_ended = false;
+                self.worker_exited = false;
                 let worker = Worker {
                     info,
                     last_sequence,
@@ -82,7 +84,8 @@
         }
     }
 
-    /// Sends the full state of the worker to the owner, which completes the start of the session.
+    /// Sends all runs and ends of the worker to the owner, which completes the start of the
+    /// session.
     fn attach(&mut self, now: Time, running: Vec<Running>, ends: Vec<End>) {
         let Some(worker) = &mut self.worker else { return };
         worker.forwarded =
@@ -116,7 +119,8 @@
         self.next_list = now + UNACKED_DELAY;
     }
 
-    /// Reconciles the table of runs with a listing; reports stalled runs and lost starts.
+    /// Reconciles the agent's table of runs with a listing; reports stalled runs and lost starts to
+    /// the owner.
     fn reconcile(&mut self, now: Time, token: Token, running: &[Running]) {
         let answered_before = now.saturating_sub(MAX_LIST_WAIT * 2);
         let mut missing = Vec::new();
--- a/crates/core/src/flow/node/pacing.rs
+++ b/crates/core/src/flow/node/pacing.rs
@@ -1,4 +1,5 @@
-//! Pacing of best-effort tasks, based on the CPU usage and tail latencies in a listing.
+//! Pacing of best-effort tasks: limits their CPU, based on the CPU usage and tail latencies in a
+//! listing.
 
 use super::{Action, AgentState, Call, RunState};
 use crate::flow::message::{Pressure, Running, TaskTraits};
@@ -6,14 +7,15 @@
 use crate::flow::pace::{BestEffortTask, ServingTask};
 use crate::time::Time;
 
-/// Minimum change of a pace that is sent to the worker, in percentage points; 0 and 100 are always
-/// sent.
+/// Minimum change of a best-effort task's pace that is sent to the worker, in percentage points.
+/// The paces 0 and 100 are always sent.
 const MIN_PACE_CHANGE: u32 = 5;
-/// Minimum change of the pressure level that is logged, in percentage points.
+/// Minimum change of the mean pace of best-effort tasks that is logged, in percentage points.
 const LOGGED_LEVEL_CHANGE: u32 = 20;
 
 impl AgentState {
-    /// Computes and sends the paces of best-effort tasks from a listing.
+    /// Computes the paces of best-effort tasks from the running tasks in a listing, and sends them
+    /// to the worker.
     pub(super) fn pace(&mut self, now: Time, running: &[Running]) {
         let task_of = |row: &Running| Some((row.task, self.runs.get(&row.task)?.traits));
         let mut serving = Vec::new();
@@ -47,7 +49,8 @@
         self.worker.as_ref().map_or(0, |worker| worker.info.capacity.cpu_milli)
     }
 
-    /// Sends the paces that differ enough from those in force. A task starts at 100 percent.
+    /// Sends the worker the paces that differ enough from those in force. A pace is the CPU that a
+    /// task may use, in percent of its request; a task starts at 100.
     pub(super) fn send_paces(&mut self, paces: &[(TaskId, u32)]) {
         let Some(token) = self.session.as_ref().map(|session| session.token) else { return };
         let Some(worker) = self.worker.as_ref().map(|worker| worker.info.id.clone()) else {
--- a/crates/core/src/flow/owner.rs
+++ b/crates/core/src/flow/owner.rs
@@ -1,8 +1,8 @@
 //! State machine of the owner: handles requests of callers and messages of agents, and decides
 //! which tasks run on which worker.
 //!
-//! An end takes effect on scheduling at once. The owner acknowledges it to the worker, and shows a
-//! final phase to callers, only after the job's record is durable.
+//! The end of a run takes effect on scheduling at once. The owner acknowledges it to the worker,
+//! and shows a final phase to callers, only after the job's record is durable.
 
 mod commit;
 mod ends;
@@ -27,22 +27,22 @@
 
 /// Index of a node in the owner's table of nodes.
 pub type Slot = usize;
-/// Number of a session with an agent; unique within one owner.
+/// Number of a session of an agent with the owner; unique within one owner.
 pub type Session = u32;
 
 /// Number of run numbers in one epoch. Each epoch uses a range above that of the epoch before, so
 /// that a new owner never reuses a run number.
 const RUNS_PER_EPOCH: Run = 1_000;
-/// Maximum time that a changed record waits to share a write with others.
+/// Maximum time that a changed job record waits to share a write to the store with others.
 const COMMIT_DELAY: Duration = Duration::from_millis(25);
-/// Maximum number of keys in one write. The store's limit is 32; two are used for the fencing
-/// check.
+/// Maximum number of keys in one write to the store. The store's limit is 32; two are used for the
+/// fencing check.
 const MAX_COMMIT_KEYS: usize = 30;
-/// Gap between two pings of an agent beyond which its node may have been passed over for starts;
-/// placement then runs again.
+/// Time between two pings of an agent beyond which placement may have passed over its node, because
+/// the permission was not renewed; placement then runs again.
 const MAX_PING_GAP: Duration = Duration::from_millis(1_500);
-/// Minimum interval between writes of the learned interference, which share a write with other
-/// records.
+/// Minimum interval between writes of the learned interference weights, which share a write with
+/// other records.
 const INTERFERENCE_INTERVAL: Duration = Duration::from_secs(5);
 /// Maximum time between two calls of [`Owner::poll`].
 const MAX_POLL_DELAY: Duration = Duration::from_millis(500);
@@ -50,32 +50,39 @@
 /// Settings of an owner.
 #[derive(Debug, Clone)]
 pub struct OwnerSettings {
-    /// Fencing epoch; increases with each owner.
+    /// Number of this owner's term; part of the fencing tokens, and higher for each new owner.
     pub epoch: u32,
-    /// Duration of the permission that a pong grants.
+    /// For how long a pong permits a worker to run tasks.
     pub permission: Duration,
     /// How long the record of an ended job is kept.
     pub keep_ended: Duration,
-    /// Factor by which a task takes longer on another rack than that of its data.
+    /// Factor by which a task takes longer on another rack than on that of its data; not used.
     pub remote_slowdown: f64,
 }
 
-/// Side effect that the caller of the state machine has to perform.
+/// Side effect that the owner's state machine requests from the code that drives it.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
-    Send { slot: Slot, session: Session, message: OwnerMessage },
+    /// Sends a message to the agent of a node, unless its session is over.
+    Send {
+        slot: Slot,
+        session: Session,
+        message: OwnerMessage,
+    },
     Log(Decision),
 }
 
-/// A decision to be logged.
+/// A decision of the owner or an agent, to be logged.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Decision {
     pub event: &'static str,
+    /// The job that the decision concerns, if it is a single one.
     pub job: Option<JobNumber>,
+    /// Further facts, as `key=value` pairs.
     pub detail: String,
 }
 
-/// Progress record of one job, as part of a write.
+/// Progress record of one job, as part of a write to the store.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Record {
     pub job: JobNumber,
@@ -94,12 +101,14 @@
 /// Contents of one atomic write to the store.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Commit {
+    /// Changed progress records of jobs.
     pub records: Vec<Record>,
-    /// Names of the nodes whose agents may hold a permission; a successor waits for these.
+    /// New roster: names of the nodes whose workers may run tasks under a permission from this
+    /// owner. A successor waits until these have reported. `None` if the roster has not changed.
     pub roster: Option<Vec<String>>,
     /// Ended jobs whose retention time is over; their records are removed.
     pub expired: Vec<JobNumber>,
-    /// Learned interference between images.
+    /// Learned interference weights of pairs of images; `None` if they are not written this time.
     pub interference: Option<Vec<InterferenceRow>>,
 }
 
@@ -107,6 +116,8 @@
 #[derive(Debug)]
 pub struct Job {
     pub spec: Arc<JobSpec>,
+    /// State of each step by occurrence, as far as the occurrences are due; a job without a
+    /// timetable has one occurrence, 0.
     pub(super) occurrences: BTreeMap<u32, Vec<StepState>>,
     /// First occurrence that is not due yet.
     pub(super) next_occurrence: u32,
@@ -118,14 +129,15 @@
     /// Whether the job comes from a predecessor, so that its tasks may already run on a worker
     /// whose agent has not reported yet.
     pub(super) is_inherited: bool,
-    /// Version of the record in memory.
+    /// Version of the job's progress record in memory.
     pub(super) version: u64,
-    /// Newest version of the record that is durable.
+    /// Newest version of the job's progress record that is durable.
     pub(super) durable: u64,
-    /// Nodes on which tasks of the job failed.
+    /// Nodes on which tasks of the job have failed.
     pub(super) failed_on: HashSet<Slot>,
+    /// When the job ended; `None` if it has not, or until the next cleanup has noticed.
     pub(super) ended: Option<Time>,
-    /// Time by which the job should complete.
+    /// Completion objective: time by which the job should complete.
     pub(super) objective: Time,
     /// Estimated CPU time of tasks that are not done, in thousandths of a core times milliseconds.
     pub(super) remaining_work: u64,
@@ -135,41 +147,47 @@
 #[derive(Debug)]
 pub struct Node {
     pub name: String,
+    /// Session of the node's agent; `None` while the agent is not connected.
     pub session: Option<Session>,
     /// Whether the agent has reported its worker's state in this session.
     pub is_attached: bool,
-    /// When the agent's permission was last renewed.
+    /// When the worker's permission to run tasks was last renewed.
     pub last_pong: Time,
+    /// The node's worker; `None` if none is running as far as the owner knows.
     pub worker: Option<WorkerInfo>,
-    /// Resources reserved by all tasks.
+    /// Resources reserved by all tasks on the node.
     pub used: Resources,
-    /// Resources reserved by long-running tasks.
+    /// Resources reserved by long-running tasks on the node.
     pub long_running: Resources,
+    /// Load on the worker, as its agent last reported.
     pub pressure: Pressure,
     /// CPU requested by best-effort tasks, by image, in thousandths of a core.
     pub(super) best_effort_cpu: BTreeMap<Image, u64>,
     /// Number of serving tasks by image, and their estimated tail latency without best-effort
     /// tasks.
     pub(super) serving: BTreeMap<Image, (u32, Baseline)>,
+    /// Runs in progress on the node, by task.
     pub tasks: BTreeMap<TaskId, Run>,
-    /// Highest end received from the worker.
+    /// Sequence number of the last end of a run received from the worker; 0 if none.
     pub last_end: EndNumber,
-    /// Unacknowledged ends, with the job and the version of its record that must become durable.
+    /// Ends of runs that have not been acknowledged to the worker, each with the job and the
+    /// version of the job's record that must become durable first.
     pub(super) pending_acks: VecDeque<(EndNumber, JobNumber, u64)>,
-    /// Consecutive failures of different jobs on the node.
+    /// Number of failures on the node since a task last finished there. Only the first failure of
+    /// each job counts, because a job that fails repeatedly is itself faulty.
     pub(super) failure_streak: u32,
-    /// Until when the node gets no starts after failures.
+    /// Until when no tasks are started on the node, because runs failed or stalled there.
     pub(super) backoff_until: Time,
     /// When the draining worker exits; `Time::MAX` once its tasks are being moved.
     pub(super) drain_deadline: Option<Time>,
-    /// Runs on the worker that are being stopped and are no longer tracked in a step. The node gets
-    /// no starts while there are any.
+    /// Runs on the worker that are being stopped and are no longer tracked in the state of a step.
+    /// No tasks are started on the node while there are any.
     pub(super) stale_runs: BTreeSet<(TaskId, Run)>,
     /// Whether the durable roster contains the node, so that a successor would wait for it.
     pub(super) in_roster: bool,
 }
 
-/// Contents of the write in flight: versions of job records, and nodes in the roster.
+/// Contents of the write to the store in flight: versions of job records, and nodes in the roster.
 type InFlight = (Vec<(JobNumber, u64)>, Vec<Slot>);
 
 /// State of the owner.
@@ -178,32 +196,42 @@
     pub(super) settings: OwnerSettings,
     pub(super) jobs: BTreeMap<JobNumber, Job>,
     pub(super) nodes: Vec<Node>,
+    /// Index of each node by its name.
     pub(super) by_name: HashMap<String, Slot>,
+    /// Number of the newest session with an agent.
     next_session: Session,
     /// When the owner's lease expires.
     valid_until: Time,
-    /// When the last permission granted by the predecessor has expired; `None` after the takeover.
+    /// When the last permission to run tasks that the predecessor granted has expired; `None` if
+    /// there was no predecessor or the takeover is finished.
     pub(super) takeover_deadline: Option<Time>,
     /// Nodes in the predecessor's roster whose agents have not reported yet.
     pub(super) unreported: BTreeSet<String>,
+    /// Side effects that have not been taken yet.
     effects: Vec<Effect>,
-    /// Jobs whose records have changed since the last write.
+    /// Jobs whose records have changed since they were last written to the store.
     dirty: BTreeSet<JobNumber>,
+    /// Since when a changed record has waited to be written.
     dirty_since: Option<Time>,
     /// Whether the next write must not wait for more changes.
     is_urgent: bool,
+    /// Whether the roster has to be written.
     roster_changed: bool,
+    /// The write whose completion has not been reported yet.
     in_flight: Option<InFlight>,
     /// Ended jobs whose records have to be removed from the store.
     expired: Vec<JobNumber>,
     /// Whether something changed that may let waiting tasks start.
     pub(super) placement_due: bool,
+    /// When the records of ended jobs are next checked for their retention time.
     next_cleanup: Time,
+    /// When the timers of nodes and jobs were last checked.
     last_timer_check: Time,
+    /// Interference between images, learned from all workers.
     pub(super) interference: Interference,
     /// Nodes whose free capacity is held for waiting long-running tasks during one placement round.
     pub(super) held_nodes: BTreeSet<Slot>,
-    /// When the learned interference is written again.
+    /// When the learned interference weights are next written to the store.
     next_interference: Time,
 }
 
@@ -260,6 +288,7 @@
         self.effects.push(Effect::Log(Decision { event, job, detail }));
     }
 
+    /// Sends a message to the agent of a node if it is connected.
     pub(super) fn send(&mut self, slot: Slot, message: OwnerMessage) {
         if let Some(session) = self.nodes[slot].session {
             self.effects.push(Effect::Send { slot, session, message });
@@ -281,6 +310,8 @@
         self.log("job_known", Some(number), detail);
     }
 
+    /// Adds a job with its stored progress. `is_inherited` tells whether the job comes from a
+    /// predecessor.
     pub(super) fn insert(
         &mut self,
         now: Time,
@@ -314,7 +345,7 @@
         self.placement_due = true;
     }
 
-    /// Handles a stored cancellation.
+    /// Handles a cancellation of a job that is in the store.
     pub fn cancel(&mut self, number: JobNumber) {
         let Some(job) = self.jobs.get_mut(&number) else { return };
         job.has_cancel = true;
@@ -380,7 +411,7 @@
         (slot, self.next_session, session_token(self.settings.epoch, self.next_session))
     }
 
-    /// Handles the end of a session.
+    /// Handles the end of a session with the agent of a node.
     pub fn disconnect(&mut self, slot: Slot, session: Session) {
         let node = &mut self.nodes[slot];
         if node.session == Some(session) {
@@ -446,7 +477,8 @@
         (task.index < job.spec.steps[usize::from(task.step)].count).then_some((&job.spec, state))
     }
 
-    /// Performs all actions that are due. `wall` is the wall-clock time.
+    /// Checks all timers and places waiting tasks if something has changed. `wall` is the
+    /// wall-clock time.
     pub fn poll(&mut self, now: Time, wall: WallMs) {
         self.check_timers(now);
         self.release_due(now, wall);
@@ -469,7 +501,7 @@
         }
     }
 
-    /// Returns the first run number of this epoch.
+    /// Returns the first run number of this owner's epoch.
     pub(super) fn run_base(&self) -> Run {
         self.settings.epoch.saturating_sub(1) * RUNS_PER_EPOCH + 1
     }
@@ -542,7 +574,8 @@
 }
 
 impl Job {
-    /// Opens the occurrences in the record. A job without a timetable has exactly one.
+    /// Opens the occurrences that the stored progress contains. A job without a timetable has
+    /// exactly one.
     fn restore(&mut self, progress: &Progress) {
         let recorded = progress.steps.keys().map(|(occurrence, _)| occurrence + 1).max();
         let open = match self.spec.timetable {
@@ -573,7 +606,8 @@
                 .all(|steps| steps.iter().zip(&self.spec.steps).all(|(s, step)| s.is_done(step)))
     }
 
-    /// Returns the record to be stored. The record of an ended job holds only its phase.
+    /// Returns the progress record of the job to be stored. The record of an ended job holds only
+    /// its phase.
     fn record(&self, number: JobNumber) -> Record {
         let mut progress = Progress { phase: self.phase, ..Progress::default() };
         if !self.phase.is_final() {
--- a/crates/core/src/flow/owner/commit.rs
+++ b/crates/core/src/flow/owner/commit.rs
@@ -1,5 +1,5 @@
-//! Persistence: batches changed records into one write at a time, and acknowledges ends once the
-//! write is durable.
+//! Persistence: batches changed job records into one write to the store at a time, and acknowledges
+//! the ends of runs to workers once the write is durable.
 
 use std::collections::BTreeSet;
 
@@ -8,7 +8,7 @@
 use crate::time::Time;
 
 impl Owner {
-    /// Returns the contents of the next write, if one is due and none is in flight.
+    /// Returns the contents of the next write to the store, if one is due and none is in flight.
     pub fn take_commit(&mut self, now: Time) -> Option<Commit> {
         let is_due = self.is_urgent
             || self.roster_changed
@@ -63,7 +63,7 @@
         Some(commit)
     }
 
-    /// Handles the completion of the write in flight.
+    /// Handles the completion of the write in flight: its contents are now durable.
     pub fn committed(&mut self) {
         let Some((versions, slots)) = self.in_flight.take() else { return };
         for (number, version) in versions {
@@ -83,17 +83,17 @@
         }
     }
 
-    /// Tells whether a record is waiting to be written or a write is in flight.
+    /// Tells whether a job record is waiting to be written or a write to the store is in flight.
     pub fn has_unwritten(&self) -> bool {
         !self.dirty.is_empty() || self.in_flight.is_some()
     }
 
-    /// Schedules a write of the roster.
+    /// Schedules a write of the roster to the store.
     pub(in crate::flow) fn mark_roster_changed(&mut self) {
         self.roster_changed = true;
     }
 
-    /// Acknowledges the ends on a node whose job records are durable.
+    /// Acknowledges to a node's worker the ends of runs whose effects on job records are durable.
     pub(in crate::flow) fn acknowledge(&mut self, slot: Slot) {
         let mut last = None;
         while let Some((number, job, version)) = self.nodes[slot].pending_acks.front().copied() {
--- a/crates/core/src/flow/owner/ends.rs
+++ b/crates/core/src/flow/owner/ends.rs
@@ -8,16 +8,16 @@
 use crate::flow::progress::Phase;
 use crate::time::Time;
 
-/// Initial backoff of a node after failures of two different jobs in a row; doubles with each
+/// Time without starts on a node after failures of two different jobs in a row; doubles with each
 /// further failure.
 const MIN_BACKOFF: Duration = Duration::from_secs(1);
-/// Maximum backoff of a node after failures.
+/// Maximum time without starts on a node after failures.
 const MAX_BACKOFF: Duration = Duration::from_secs(8);
-/// Backoff of a node on which a run stalled.
+/// Time without starts on a node after a run stalled there.
 const STALL_BACKOFF: Duration = Duration::from_secs(3);
 
 impl Owner {
-    /// Handles ends reported by an agent, except those received before.
+    /// Handles the ends of runs that an agent reports, except those received before.
     pub(in crate::flow) fn ends(&mut self, now: Time, slot: Slot, worker: &str, ends: Vec<End>) {
         if self.nodes[slot].worker.as_ref().is_none_or(|known| known.id != worker) {
             return;
@@ -37,7 +37,7 @@
         self.acknowledge(slot);
     }
 
-    /// Handles the end of one run.
+    /// Handles the end of one run: completes or requeues its task, or counts a failure.
     pub(super) fn finish_run(&mut self, now: Time, slot: Slot, end: &End) {
         let task = end.task;
         self.save_checkpoint(task, end.run, end.checkpoint.clone());
@@ -107,7 +107,8 @@
         self.placement_due = true;
     }
 
-    /// Counts the failure of a run, and fails the job once a task has used up its attempts.
+    /// Counts the failure of a run against its task, and fails the job once a task has used up its
+    /// attempts.
     pub(super) fn failed(&mut self, now: Time, slot: Slot, end: &End) {
         let task = end.task;
         let Some((spec, state)) = self.step_mut(&task) else { return };
@@ -175,7 +176,7 @@
         }
     }
 
-    /// Keeps the checkpoint of a run, unless a newer run of the task is known.
+    /// Keeps the checkpoint of a run in memory, unless a newer run of the task is known.
     pub(super) fn save_checkpoint(&mut self, task: TaskId, run: Run, checkpoint: String) {
         if checkpoint.is_empty() {
             return;
@@ -188,7 +189,7 @@
         }
     }
 
-    /// Requeues a task whose start was rejected.
+    /// Requeues a task whose start the agent or the worker has rejected.
     pub(super) fn not_started(&mut self, slot: Slot, task: TaskId, run: Run, reason: &str) {
         let detail =
             format!("task={task} run={run} node={} reason={reason}", self.nodes[slot].name);
--- a/crates/core/src/flow/owner/reservations.rs
+++ b/crates/core/src/flow/owner/reservations.rs
@@ -48,7 +48,8 @@
 }
 
 impl Node {
-    /// Adds or removes one task of `step` in the totals by image.
+    /// Updates the node's totals by image for one task of `step`. `change` adds the task's part to
+    /// a total, or subtracts it.
     fn update_totals(&mut self, step: &Step, change: impl Fn(u64, u64) -> u64) {
         if step.best_effort {
             let cpu = self.best_effort_cpu.entry(image_number(step)).or_default();
--- a/crates/core/src/flow/owner/workers.rs
+++ b/crates/core/src/flow/owner/workers.rs
@@ -1,4 +1,4 @@
-//! Draining and lost workers, and periodic checks.
+//! Handling of workers that drain or are lost, and the owner's periodic checks.
 
 use std::time::Duration;
 
@@ -8,16 +8,17 @@
 use crate::resources::Resources;
 use crate::time::Time;
 
-/// Margin after a permission's expiry before its worker is taken to have stopped all tasks; covers
-/// rounding of lease times on the way to the worker.
+/// Time after the expiry of a worker's permission to run tasks before the worker is taken to have
+/// stopped all of them; covers rounding of lease times on the way to the worker.
 const PERMISSION_MARGIN: Duration = Duration::from_millis(200);
-/// How long before a draining worker exits its tasks with checkpoints are moved.
+/// How long before the exit of a draining worker its tasks with checkpoints are moved elsewhere.
 const CHECKPOINT_LEAD: Duration = Duration::from_millis(500);
 /// Assumed time until a draining worker exits, if it does not report one.
 const DEFAULT_DRAIN_TIME: Duration = Duration::from_secs(2);
 
 impl Owner {
-    /// Handles a worker that begins to drain: moves its long-running tasks at once.
+    /// Handles a worker that begins to drain: moves its long-running tasks to other nodes at once.
+    /// `remaining` is the minimum time until it exits.
     pub(in crate::flow) fn draining(
         &mut self,
         now: Time,
@@ -81,7 +82,8 @@
         self.mark_roster_changed();
     }
 
-    /// Checks expired permissions, drains, takeover, retention of ended jobs and backoffs.
+    /// Handles expired permissions of workers, workers that are about to exit, the end of a
+    /// takeover, ended jobs whose retention time is over, and nodes whose backoff has expired.
     pub(super) fn check_timers(&mut self, now: Time) {
         let permission = self.settings.permission + PERMISSION_MARGIN;
         for slot in 0..self.nodes.len() {
--- a/crates/core/src/flow/pace.rs
+++ b/crates/core/src/flow/pace.rs
@@ -17,24 +17,26 @@
 /// Intended tail latency as a fraction of its target. Listings are half a second old, and the load
 /// varies by half within seven seconds, about 5 % of the target between two listings.
 const TARGET_FRACTION: f64 = 0.84;
-/// Fraction of the distance to the intended tail latency that is used in one round, because learned
-/// weights may be too low.
+/// Fraction of the distance from a tail latency to the intended one that best-effort tasks may use
+/// up from one listing to the next, because learned interference weights may be too low.
 const BUDGET_FRACTION: f64 = 0.5;
 /// Rise of the logarithm of a tail latency that best-effort tasks may always cause, unless the
 /// target has been exceeded for longer than [`MAX_OVER_TARGET`]. It is too small to be measured.
 const MIN_BUDGET: f64 = 0.01;
-/// Time above the target after which best-effort tasks stop altogether. It is half the time that
+/// Time for which a tail latency may exceed its target before all best-effort tasks on the
+/// worker are stopped. It is half the time that
 /// users tolerate.
 const MAX_OVER_TARGET: Duration = Duration::from_secs(2);
 /// Minimum interference weight, because learned weights are imprecise.
 const MIN_WEIGHT: f64 = 0.02;
-/// Minimum of the correction factor for weights that is learned on a worker.
+/// Minimum of the correction factor for interference weights that is learned on a worker.
 const MIN_GAIN: f64 = 0.3;
-/// Maximum of the correction factor for weights that is learned on a worker.
+/// Maximum of the correction factor for interference weights that is learned on a worker.
 const MAX_GAIN: f64 = 5.0;
-/// Smoothing factor of the learned correction: the share of a new observation.
+/// Smoothing factor of the correction factor for interference weights: the share of a new value.
 const GAIN_SMOOTHING: f64 = 0.3;
-/// Minimum expected change of the logarithm of a tail latency from which the correction is learned.
+/// Minimum expected change of the logarithm of a tail latency from which the correction factor for
+/// interference weights is learned.
 const MIN_LEARNING_RISE: f64 = 0.1;
 /// Minimum pace in percent. Tasks make no useful progress at lower paces, so they are stopped.
 const MIN_PACE: u32 = 4;
@@ -44,7 +46,9 @@
 pub struct ServingTask {
     pub task: TaskId,
     pub image: Image,
+    /// Observed tail latency, in milliseconds; 0 if it is not known.
     pub tail_ms: u64,
+    /// Target for the tail latency, in milliseconds.
     pub target_ms: u32,
 }
 
@@ -74,13 +78,16 @@
 /// Computes the paces of the best-effort tasks of one worker.
 #[derive(Debug)]
 pub struct Pacer {
-    /// Interference weights by serving and best-effort image.
+    /// Interference weights that the owner has learned, by serving and best-effort image: the rise
+    /// of the logarithm of the tail latency if the best-effort image uses all CPU of the worker.
     weights: HashMap<(Image, Image), f64>,
-    /// Correction factor for all weights on this worker.
+    /// Correction factor for all interference weights, learned on this worker.
     gain: f64,
+    /// The worker's serving tasks in the last listing, grouped by image.
     groups: Vec<Group>,
     /// Since when a tail latency has been above its target.
     over_since: Option<Time>,
+    /// Load on the worker in the last listing.
     pressure: Pressure,
 }
 
@@ -108,8 +115,8 @@
         known.max(MIN_WEIGHT) * self.gain
     }
 
-    /// Updates the state from a listing of a worker with `capacity` thousandths of a core. Returns
-    /// the pace of each best-effort task in percent.
+    /// Updates the state from the tasks in a listing of a worker with `capacity` thousandths of a
+    /// core. Returns the pace of each best-effort task in percent.
     pub fn observe(
         &mut self,
         now: Time,
@@ -146,7 +153,7 @@
         paces
     }
 
-    /// Groups the serving tasks by image.
+    /// Groups the serving tasks by image; the budgets are not set yet.
     fn groups(
         &self,
         capacity: f64,
@@ -168,7 +175,8 @@
         tails.into_iter().map(group).collect()
     }
 
-    /// Updates the correction factor from the group with the largest expected change.
+    /// Updates the correction factor for interference weights from the serving image whose tail
+    /// latency was expected to change the most since the last listing.
     fn learn(&mut self, groups: &[Group]) {
         let before = |group: &Group| self.groups.iter().find(|known| known.image == group.image);
         let changes = groups.iter().filter_map(|group| {
@@ -183,8 +191,9 @@
         }
     }
 
-    /// Divides the budgets among best-effort tasks, starting with those that need the smallest
-    /// share.
+    /// Divides the budgets of all serving images among best-effort tasks, starting with the tasks
+    /// that use up the smallest share of a budget per unit of CPU. Returns the pace of each task in
+    /// percent.
     fn divide_budget(&mut self, capacity: f64, tasks: &[BestEffortTask]) -> Vec<(TaskId, u32)> {
         let mut order: Vec<(f64, usize)> =
             tasks.iter().enumerate().map(|(n, task)| (self.budget_share(task.image), n)).collect();
@@ -196,14 +205,16 @@
         paces
     }
 
-    /// Returns the largest share of any group's budget that an image needs per unit of CPU.
+    /// Returns the largest share of a serving image's budget that a best-effort image uses up per
+    /// unit of CPU.
     fn budget_share(&self, best_effort: Image) -> f64 {
         let part =
             |group: &Group| self.weight(group.image, best_effort) / group.budget.max(f64::EPSILON);
         self.groups.iter().map(part).fold(0.0, f64::max)
     }
 
-    /// Deducts a best-effort task from the budgets; returns its pace in percent.
+    /// Deducts the interference of a best-effort task that requests `cpu` thousandths of a core
+    /// from the budgets of the serving images; returns the pace of the task in percent.
     fn take_budget(&mut self, capacity: f64, image: Image, cpu: u64) -> u32 {
         let share = cpu as f64 / capacity;
         let most = |group: &Group| group.budget / (self.weight(group.image, image) * share);
@@ -218,13 +229,13 @@
         percent
     }
 
-    /// Returns the pace in percent of a best-effort task that has just started, from the budgets
-    /// left by the last listing.
+    /// Returns the pace in percent of a best-effort task that has just started, from what the tasks
+    /// in the last listing left of the budgets. `capacity` and `cpu` are in thousandths of a core.
     pub fn pace_new_task(&mut self, capacity: u64, image: Image, cpu: u64) -> u32 {
         self.take_budget(capacity.max(1) as f64, image, cpu)
     }
 
-    /// Returns the pressure in the last listing.
+    /// Returns the load on the worker in the last listing.
     pub fn pressure(&self) -> Pressure {
         self.pressure
     }
--- a/crates/core/src/flow/place.rs
+++ b/crates/core/src/flow/place.rs
@@ -13,13 +13,15 @@
 use crate::resources::Resources;
 use crate::time::Time;
 
-/// Multiple of its objective up to which completing a job late still has some value.
+/// Multiple of the time from a job's release to its completion objective up to which completing the
+/// job late still has some value.
 const MAX_LATE_FACTOR: u32 = 3;
-/// Percentage of its estimated remaining time that a job is taken to need at least, because
+/// Time that a job is taken to need at least, in percent of its estimated remaining time, because
 /// estimates are rough.
 const MIN_TIME_LEFT_PERCENT: u64 = 60;
-/// Maximum age of an agent's permission for its node to get starts. Agents renew the permission
-/// each second, and it lasts several times as long.
+/// Maximum time since the last renewal of a worker's permission to run tasks for the owner to start
+/// tasks on the worker. Agents renew the permission each second, and it lasts several times as
+/// long.
 const MAX_PERMISSION_AGE: Duration = Duration::from_secs(3);
 /// Time after which a ready step without runs may start one task on any node with capacity, even if
 /// the task would be throttled there. Callers give up on jobs that make no progress.
@@ -55,13 +57,15 @@
     /// 0 if the job can still meet its objective, 1 if it will be late, 2 if it is too late to
     /// matter.
     lateness: u8,
+    /// Priority of the job's queue; 0 is the highest.
     priority: u8,
-    /// Remaining CPU time of the job, so that small jobs do not wait for a large one.
+    /// Remaining CPU time of the job, in thousandths of a core times milliseconds, so that small
+    /// jobs do not wait for a large one.
     remaining_work: u64,
     released_at: Time,
 }
 
-/// A step with waiting tasks.
+/// A step whose waiting tasks are ready to be placed on nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate {
     rank: Rank,
@@ -70,12 +74,18 @@
     step: u16,
 }
 
-/// Sort key of nodes for a task; smaller is better. In order: a node to avoid, recent failures,
-/// wrong rack, other serving images, CPU of long-running tasks, and free CPU or cost.
+/// Sort key of the nodes that can run a task; the node with the smallest key is chosen. In order:
+/// - whether the task last failed, stalled or could not start on the node;
+/// - whether tasks have failed there since one last finished;
+/// - whether the node is outside the rack that is preferred for the task;
+/// - for a serving task, the number of serving images on the node other than its own;
+/// - for a long-running task, the CPU reserved there by long-running tasks, most first;
+/// - the free CPU, least first for a long-running task and most first for others; for a best-effort
+///   task, the cost of its interference instead.
 type Score = (bool, bool, bool, usize, Reverse<u64>, u64);
 
 impl Owner {
-    /// Opens the occurrences of periodic jobs that are due.
+    /// Opens the occurrences of periodic jobs that are due, so that their tasks wait to be placed.
     pub(super) fn release_due(&mut self, now: Time, wall: WallMs) {
         for job in self.jobs.values_mut().filter(|job| !job.phase.is_final()) {
             let Some(table) = job.spec.timetable else { continue };
@@ -263,7 +273,8 @@
         }
     }
 
-    /// Returns the best node for a task, given the number of tasks already planned on each node.
+    /// Returns the best node for a task of a step, or `None` if no node can run it now, given the
+    /// number of tasks already planned on each node.
     #[allow(clippy::too_many_arguments)]
     fn choose_node(
         &self,
@@ -313,12 +324,13 @@
         best.map(|(_, slot)| slot)
     }
 
+    /// Returns the state of a candidate's tasks.
     fn state(&self, candidate: &Candidate) -> &super::step::StepState {
         &self.jobs[&candidate.job].occurrences[&candidate.occurrence][usize::from(candidate.step)]
     }
 }
 
-/// Returns the rank of a job's steps.
+/// Returns the rank of a job's steps for placement.
 fn rank(job: &Job, now: Time) -> Rank {
     let objective = job.objective.saturating_sub(job.released_at);
     let left = Duration::from_millis(job.chain_left_ms() * MIN_TIME_LEFT_PERCENT / 100);
@@ -336,7 +348,8 @@
 }
 
 impl Node {
-    /// Returns the rack of the worker, which is its second label.
+    /// Returns the rack of the worker, which is its second label, if the node has a worker with
+    /// one.
     pub(super) fn rack(&self) -> Option<&str> {
         self.worker.as_ref()?.labels.get(1).map(String::as_str)
     }
@@ -352,13 +365,13 @@
         self.worker.as_ref().map_or(0, |worker| worker.capacity.cpu_milli)
     }
 
-    /// Tells whether `need` fits beside the long-running tasks alone.
+    /// Tells whether `need` would fit on the node if only its long-running tasks were there.
     fn fits_beside_long_running(&self, need: &Resources) -> bool {
         let capacity = self.worker.as_ref().map(|worker| worker.capacity);
         capacity.is_some_and(|capacity| self.long_running.plus(need).fits_in(&capacity))
     }
 
-    /// Tells whether the node may get starts of a step, regardless of free capacity.
+    /// Tells whether tasks of a step may be started on the node, regardless of its free capacity.
     pub(super) fn accepts_starts(&self, now: Time, spec: &JobSpec, step: &Step) -> bool {
         let Some(worker) = &self.worker else { return false };
         self.is_attached
@@ -371,7 +384,8 @@
             && step.required_label.as_ref().is_none_or(|label| worker.labels.contains(label))
     }
 
-    /// Tells whether one more task of a step fits beside `planned` ones.
+    /// Tells whether one more task of a step fits on the node in addition to `planned` tasks of the
+    /// step that have not been started yet.
     fn has_capacity(&self, step: &Step, planned: u64) -> bool {
         let Some(worker) = &self.worker else { return false };
         let reserved = step.reserved();
--- a/crates/core/src/flow/place/best_effort.rs
+++ b/crates/core/src/flow/place/best_effort.rs
@@ -1,4 +1,5 @@
-//! Placement of best-effort tasks: where they get CPU, and with which serving tasks they interfere.
+//! Placement of best-effort tasks on nodes with idle CPU where they interfere little with serving
+//! tasks.
 
 use crate::flow::interference::Share;
 use crate::flow::message::{Image, Sample};
@@ -14,15 +15,16 @@
 /// Maximum expected tail latency, in percent of its target, at which a node gets more best-effort
 /// tasks. Above this the tasks that it already has finish sooner without new ones.
 const MAX_TAIL_PERCENT: f64 = 75.0;
-/// Rise of the logarithm of a tail latency up to which interference is ignored. It is smaller than
+/// Rise of the logarithm of a serving image's tail latency up to which the interference of new
+/// best-effort tasks is ignored, about 2 %. It is smaller than
 /// the change that the serving tasks' own load causes within a second.
 const MIN_RISE: f64 = 0.02;
 /// CPU that best-effort tasks may use, in percent of their request, below which a node gets no more
 /// best-effort tasks that interfere with its serving tasks.
 const MIN_PRESSURE_LEVEL: u32 = 50;
-/// Safety factor on the expected rise caused by a new best-effort task. Tail latencies near their
-/// target rose by two to three times the prediction of the weights, which are learned at lower
-/// ones.
+/// Safety factor on the expected rise of a tail latency caused by a new best-effort task. Tail
+/// latencies near their target rose by two to three times the prediction of the interference
+/// weights, which are learned at lower latencies.
 const RISE_SAFETY_FACTOR: f64 = 2.0;
 /// Weight of the rise of the expected tail latency in the cost of a node, relative to the tail
 /// latency itself and to the share of CPU that best-effort tasks request.
@@ -42,8 +44,8 @@
     }
 
     /// Returns the number of serving images on the node other than the step's own; 0 if the step
-    /// does not serve. Nodes with few serving images leave more nodes free of interference for
-    /// best-effort tasks.
+    /// does not serve. Placement prefers low numbers: if tasks of the same serving image share
+    /// nodes, more nodes are left on which a best-effort task interferes with none of the images.
     pub(super) fn other_serving_images(&self, step: &Step) -> usize {
         let own = image_number(step);
         match step.target_ms {
@@ -52,7 +54,7 @@
         }
     }
 
-    /// Returns the shares of the worker's CPU that the best-effort images request.
+    /// Returns the fraction of the worker's CPU that each best-effort image requests.
     fn shares(&self) -> Vec<Share> {
         self.best_effort_cpu.iter().map(|(image, cpu)| (*image, self.share(*cpu))).collect()
     }
@@ -62,8 +64,8 @@
         cpu as f64 / self.cpu_capacity().max(1) as f64
     }
 
-    /// Tells whether the CPU for one more best-effort task is free beside `planned` tasks of
-    /// the same step that are about to start.
+    /// Tells whether the node has enough idle CPU for one more best-effort task of a step, in
+    /// addition to `planned` tasks of the step that have not been started yet.
     pub(super) fn best_effort_fits(&self, step: &Step, planned: u64) -> bool {
         let need = step.need.cpu_milli;
         let free = self.spare_cpu().saturating_sub(planned * need);
@@ -74,7 +76,9 @@
 }
 
 impl Owner {
-    /// Updates the learned interference and baselines from a ping of a node's agent.
+    /// Updates the learned interference, and the baselines of the node's serving images, from a
+    /// ping of the node's agent. A baseline is a tail latency without best-effort tasks, in percent
+    /// of its target.
     pub(in crate::flow) fn learn_interference(
         &mut self,
         slot: Slot,
@@ -92,7 +96,8 @@
         }
     }
 
-    /// Returns the interference weights of a best-effort step on the serving images of a node.
+    /// Returns the interference weight of a best-effort step's image on each serving image of a
+    /// node, in units of 1 / `WEIGHT_SCALE`; empty for other steps.
     pub(in crate::flow) fn step_weights(&self, slot: Slot, step: &Step) -> Vec<(Image, u32)> {
         let best_effort = image_number(step);
         let weight = |image: &Image| (*image, self.interference.scaled_weight(*image, best_effort));
@@ -102,8 +107,8 @@
         }
     }
 
-    /// Returns the interference weights of all pairs of a serving and a best-effort image on a
-    /// node.
+    /// Returns the interference weight of each pair of a serving and a best-effort image on a node,
+    /// in units of 1 / `WEIGHT_SCALE`.
     pub(in crate::flow) fn weights(&self, slot: Slot) -> Vec<(Image, Image, u32)> {
         let node = &self.nodes[slot];
         let pairs =
@@ -130,9 +135,9 @@
         worst
     }
 
-    /// Tells whether one more best-effort task, beside `planned` ones, would interfere too
-    /// much with the serving tasks of a node. The first best-effort task on a node is always
-    /// allowed.
+    /// Tells whether one more best-effort task of a step, in addition to `planned` tasks that have
+    /// not been started yet, would interfere too much with the serving tasks of a node. The first
+    /// best-effort task on a node is always allowed.
     pub(super) fn would_interfere(&self, node: &Node, step: &Step, planned: u64) -> bool {
         let (tail, rise) = self.expected_tail(node, step, planned + 1);
         node.total_best_effort_cpu() > 0
@@ -140,9 +145,9 @@
             && (node.pressure.level < MIN_PRESSURE_LEVEL || tail > MAX_TAIL_PERCENT)
     }
 
-    /// Returns the cost of placing a best-effort task on a node, beside `planned_cpu` thousandths
-    /// of a core of planned tasks. The cost grows with the best-effort load, the expected tail
-    /// latency and its rise.
+    /// Returns the cost of placing a best-effort task on a node, in addition to tasks that have not
+    /// been started yet and request `planned_cpu` thousandths of a core. The cost grows with the
+    /// best-effort load, the expected tail latency and its rise.
     pub(super) fn best_effort_cost(&self, node: &Node, step: &Step, planned_cpu: u64) -> u64 {
         let share = ((node.total_best_effort_cpu() + planned_cpu) * 100
             / node.cpu_capacity().max(1)) as f64;
--- a/crates/core/src/flow/progress.rs
+++ b/crates/core/src/flow/progress.rs
@@ -10,9 +10,11 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
     #[default]
+    /// No task has started yet.
     Queued,
     Running,
     Completed,
+    /// A task has failed as often as its queue allows.
     Failed,
     Cancelled,
 }
@@ -23,7 +25,7 @@
         matches!(self, Phase::Completed | Phase::Failed | Phase::Cancelled)
     }
 
-    /// Returns the lower-case name for logs.
+    /// Returns the lower-case name of the phase for logs.
     pub fn name(self) -> &'static str {
         match self {
             Phase::Queued => "queued",
@@ -70,9 +72,11 @@
 /// Finished tasks and failures of one step.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepProgress {
+    /// Indices of the tasks that have finished successfully.
     pub done: IndexSet,
-    /// Failed runs by index of tasks that are not done. The run numbers prevent a failure from
-    /// being counted twice when a worker lists its end again after a takeover.
+    /// Failed runs of tasks that are not done, by index of the task; of a gang, under index 0. The
+    /// run numbers prevent a failure from being counted twice when a worker lists the end of the
+    /// run again after a takeover.
     pub failures: BTreeMap<u32, BTreeSet<Run>>,
 }
 
@@ -80,7 +84,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Progress {
     pub phase: Phase,
-    /// Progress by occurrence and step; steps without any end have no entry.
+    /// Progress of each step by occurrence and index of the step; empty once the job has ended.
     pub steps: BTreeMap<(u32, u16), StepProgress>,
     /// Owner's epoch and wall-clock time at the end of the job; no code sets or reads the field.
     pub ended_at: u64,
--- a/crates/core/src/flow/recovery.rs
+++ b/crates/core/src/flow/recovery.rs
@@ -10,12 +10,13 @@
 use super::step::Attempt;
 use crate::time::Time;
 
-/// Margin added to the wait for agents that do not report; covers rounding of lease times.
+/// Margin added to the time that a new owner waits for agents that do not report; covers rounding
+/// of lease times.
 const TAKEOVER_MARGIN: Duration = Duration::from_millis(300);
 
 impl Owner {
-    /// Takes over a stored job. Its tasks are not started until every agent in the predecessor's
-    /// roster has reported or its permission has expired.
+    /// Takes over a stored job that has not ended. Its tasks are not started until every agent in
+    /// the predecessor's roster has reported, or the permissions of its workers have expired.
     pub fn inherit(&mut self, now: Time, number: JobNumber, spec: JobSpec, progress: Progress) {
         self.insert(now, number, spec, progress, true);
     }
@@ -41,20 +42,20 @@
         self.insert(now, number, spec, progress, true);
     }
 
-    /// Sets the nodes whose agents may still hold a permission from the predecessor.
+    /// Sets the nodes whose workers may still run tasks under a permission from the predecessor.
     pub fn set_predecessor(&mut self, now: Time, roster: Vec<String>) {
         self.unreported = roster.into_iter().collect();
         self.takeover_deadline = Some(now + self.settings.permission + TAKEOVER_MARGIN);
         self.mark_roster_changed();
     }
 
-    /// Takes over the interference that the predecessor learned.
+    /// Takes over the interference weights that the predecessor learned.
     pub fn inherit_interference(&mut self, rows: &[InterferenceRow]) {
         self.interference.restore(rows);
     }
 
-    /// Finishes the takeover once all agents of the roster have reported or their permissions have
-    /// expired.
+    /// Finishes the takeover once all agents in the predecessor's roster have reported, or the
+    /// permissions of their workers to run tasks have expired.
     pub(super) fn finish_takeover(&mut self, now: Time) {
         let Some(at) = self.takeover_deadline else { return };
         if now >= at || self.unreported.is_empty() {
@@ -67,8 +68,10 @@
         }
     }
 
-    /// Handles the first report of an agent in a session: reconciles the worker's runs and ends
-    /// with the owner's state. The worker already refuses orders of older sessions.
+    /// Handles the first report of an agent in a session, which contains the state of the worker:
+    /// applies the `ends` of runs, requeues the tasks that the worker does not run, and adopts or
+    /// stops the runs in `running`. The report is complete, because the worker already refuses
+    /// delayed orders of older sessions.
     pub(super) fn attach(
         &mut self,
         now: Time,
@@ -126,7 +129,8 @@
         self.placement_due = true;
     }
 
-    /// Requeues tasks that were ordered in an older session and that the worker does not list.
+    /// Requeues the tasks that the owner started on a node in an older session and that the worker
+    /// does not list as running.
     fn forget_unlisted(&mut self, slot: Slot, running: &[Running]) {
         let is_listed =
             |task: &TaskId, run: u32| running.iter().any(|r| r.task == *task && r.run == run);
@@ -142,7 +146,8 @@
         }
     }
 
-    /// Adopts a listed run. Returns whether the run may continue.
+    /// Adopts a run that a worker lists, unless the owner does not need it. Returns whether the run
+    /// may continue.
     fn adopt(&mut self, slot: Slot, listed: &Running) -> bool {
         let task = listed.task;
         let is_over = self.jobs.get(&task.job).is_none_or(|job| job.phase.is_final());
@@ -173,7 +178,8 @@
         true
     }
 
-    /// Opens occurrences up to one that a predecessor had begun; returns whether it exists.
+    /// Opens the occurrences of a periodic job up to `occurrence`, which a predecessor has begun.
+    /// Returns whether the job has such an occurrence.
     fn open_occurrence(&mut self, number: JobNumber, occurrence: u32) -> bool {
         let Some(job) = self.jobs.get_mut(&number) else { return false };
         while job.next_occurrence <= occurrence && job.spec.timetable.is_some() {
--- a/crates/core/src/flow/routes.rs
+++ b/crates/core/src/flow/routes.rs
@@ -4,16 +4,18 @@
 
 use super::model::Queue;
 
-/// Routing table of one configuration version.
+/// Routing table of one configuration version: maps the host and path prefix of a request to the
+/// queue to which the request submits its job.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Routes {
+    /// Version of the configuration that defines the routes.
     pub version: u64,
-    /// Prefixes and queues by host, longest prefix first.
+    /// Path prefixes and their queues by host, longest prefix first.
     hosts: HashMap<String, Vec<(String, Queue)>>,
 }
 
 impl Routes {
-    /// Builds the table from hosts, prefixes and queues.
+    /// Builds the table from rows of host, path prefix and queue.
     pub fn new(version: u64, rows: impl IntoIterator<Item = (String, String, Queue)>) -> Self {
         let mut hosts: HashMap<String, Vec<(String, Queue)>> = HashMap::new();
         for (host, prefix, queue) in rows {
@@ -25,7 +27,8 @@
         Routes { version, hosts }
     }
 
-    /// Returns the queue for a request and the part of the path after the prefix.
+    /// Returns the queue for a request to `host` and `path`, and the rest of the path after the
+    /// longest matching prefix; `None` if there is no route.
     pub fn find<'a>(&self, host: &str, path: &'a str) -> Option<(&Queue, &'a str)> {
         let prefixes = self.hosts.get(host)?;
         prefixes.iter().find_map(|(prefix, queue)| {
--- a/crates/core/src/flow/sampler.rs
+++ b/crates/core/src/flow/sampler.rs
@@ -1,4 +1,5 @@
-//! Differences between successive listings of a worker, from which interference is learned.
+//! Changes of CPU usage and tail latencies between successive listings of a worker's tasks, from
+//! which the interference between images is learned.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,26 +9,28 @@
 use super::pace::{BestEffortTask, ServingTask};
 use crate::time::Time;
 
-/// Maximum time between two listings that are compared. Over longer gaps the serving tasks' own
-/// load changes too.
+/// Maximum time between two listings of a worker's tasks that are compared. Over longer gaps the
+/// serving tasks' own load changes too.
 const MAX_GAP: Duration = Duration::from_millis(1_300);
-/// Minimum change of best-effort CPU usage, in thousandths of a core; smaller changes may be
-/// rounding.
+/// Minimum change of the CPU usage of a best-effort image, in thousandths of a core; smaller
+/// changes may be rounding errors.
 const MIN_CPU_CHANGE: i64 = 100;
 
-/// Compares successive listings of one worker.
+/// Compares successive listings of one worker's tasks.
 #[derive(Debug, Default)]
 pub struct Sampler {
-    /// Time of the last listing.
+    /// When the previous listing of the worker's tasks arrived.
     at: Time,
-    /// Tail latencies in the last listing, in milliseconds.
+    /// Tail latency of each serving task in the previous listing, in milliseconds.
     tails: BTreeMap<TaskId, u64>,
+    /// CPU usage of each best-effort image in the previous listing, in thousandths of a core.
     cpu_used: BTreeMap<Image, i64>,
 }
 
 impl Sampler {
-    /// Records the usage in a listing. Returns the changes since the last listing if tail latencies
-    /// are comparable and best-effort CPU usage changed.
+    /// Records the tail latencies and CPU usage in a listing. Returns the changes since the
+    /// previous listing, if that is recent, a serving task is in both, and the CPU usage of a
+    /// best-effort image has changed.
     pub fn observe(
         &mut self,
         now: Time,
--- a/crates/core/src/flow/status.rs
+++ b/crates/core/src/flow/status.rs
@@ -1,4 +1,4 @@
-//! Status shown to callers and operators.
+//! Status of jobs and load, as shown to callers and operators.
 
 use super::model::JobNumber;
 use super::owner::{Job, Owner};
@@ -13,7 +13,7 @@
         })
     }
 
-    /// Returns the number of jobs of a queue that have not begun.
+    /// Returns the number of jobs of a queue of which no task has started yet.
     pub fn waiting(&self, queue: &str) -> u64 {
         let waits = |job: &&Job| job.phase == Phase::Queued && job.spec.queue.name == queue;
         self.jobs.values().filter(waits).count() as u64
--- a/crates/core/src/flow/step.rs
+++ b/crates/core/src/flow/step.rs
@@ -7,12 +7,13 @@
 use super::progress::{IndexSet, StepProgress};
 use crate::time::Time;
 
-/// A run in progress, ordered by this owner or adopted from a worker's listing.
+/// A run in progress of one task, ordered by this owner or adopted from a worker's listing.
 #[derive(Debug, Clone)]
 pub struct Attempt {
     pub run: Run,
+    /// Node on which the run is in progress.
     pub slot: Slot,
-    /// Whether a stop was sent.
+    /// Whether the owner has ordered to stop the run.
     pub is_stopping: bool,
 }
 
@@ -20,25 +21,31 @@
 /// otherwise.
 #[derive(Debug, Clone, Default)]
 pub struct StepState {
+    /// Tasks that are neither done nor in progress.
     pub waiting: BTreeSet<u32>,
+    /// Run in progress of each task that has one.
     pub running: BTreeMap<u32, Attempt>,
+    /// Tasks that have finished successfully.
     pub done: IndexSet,
+    /// Number of tasks in `done`.
     pub done_count: u32,
+    /// Failed runs of each task that is not done; of a gang, under index 0.
     pub failures: BTreeMap<u32, BTreeSet<Run>>,
     /// Newest checkpoint of each task; of a gang, under index 0.
     pub checkpoints: HashMap<u32, String>,
-    /// Highest run number of each task.
+    /// Highest run number that each task has had under this owner.
     pub last_runs: HashMap<u32, Run>,
-    /// Node on which a task last failed, stalled or could not start.
+    /// For each task, the last node on which it failed, stalled or could not start. Placement
+    /// prefers other nodes for the task.
     pub avoided_nodes: HashMap<u32, Slot>,
-    /// Number of tasks in progress by node.
+    /// Number of tasks of the step in progress on each node.
     pub per_worker: HashMap<Slot, u32>,
-    /// When all steps that this step depends on were done.
+    /// Since when all steps that this step depends on are done; `None` until placement has seen it.
     pub ready_since: Option<Time>,
 }
 
 impl StepState {
-    /// Restores a step from its record; unfinished tasks are waiting.
+    /// Restores a step from the stored progress; unfinished tasks are waiting.
     pub fn restore(step: &Step, progress: Option<&StepProgress>) -> Self {
         let progress = progress.cloned().unwrap_or_default();
         let waiting = (0..step.count).filter(|index| !progress.done.contains(*index)).collect();
@@ -56,7 +63,8 @@
         !step.long_running && self.done_count >= step.count
     }
 
-    /// Returns the number for the next run of a task; `base` is the first of the epoch.
+    /// Returns the number for the next run of a task; `base` is the first run number of the owner's
+    /// epoch.
     pub fn next_run(&self, index: u32, base: Run) -> Run {
         self.last_runs.get(&index).map_or(base, |last| (last + 1).max(base))
     }
@@ -69,7 +77,7 @@
         self.running.insert(index, attempt);
     }
 
-    /// Removes the run in progress of a task.
+    /// Removes the run in progress of a task, and returns it.
     pub fn end(&mut self, index: u32) -> Option<Attempt> {
         let attempt = self.running.remove(&index)?;
         if let Some(count) = self.per_worker.get_mut(&attempt.slot) {
@@ -89,7 +97,7 @@
         self.avoided_nodes.remove(&index);
     }
 
-    /// Returns the durable part of the state.
+    /// Returns the part of the state that is stored and survives a takeover.
     pub fn record(&self) -> StepProgress {
         StepProgress { done: self.done.clone(), failures: self.failures.clone() }
     }
--- a/crates/core/tests/flow/interference.rs
+++ b/crates/core/tests/flow/interference.rs
@@ -57,8 +57,9 @@
     BestEffortTask { task: task(index), image, cpu: 4_000, used }
 }
 
-/// Guards against learning from tasks that were not in the previous listing, or from listings so
-/// far apart that the load has changed.
+/// Guards against learning interference from wrong changes of tail latencies: of tasks that were
+/// not in the worker's previous listing, or between listings so far apart that the load has
+/// changed.
 #[test]
 fn learning_uses_only_tasks_in_two_close_listings() {
     let mut sampler = Sampler::default();
--- a/crates/core/tests/flow/load.rs
+++ b/crates/core/tests/flow/load.rs
@@ -43,9 +43,10 @@
     assert!(half >= 13, "{half} of 30 in time; capacity for 15");
 }
 
-/// Guards against a job that never starts. In a run of the guide workload's scale-2 scenario with
-/// seed 216579984745, found by seed search, the largest late job waited for 48 s while workers were
-/// half empty but under pressure from serving tasks.
+/// Guards against a best-effort job that never starts because its tasks would be throttled on every
+/// worker. In a run of the guide workload's scale-2 scenario with seed 216579984745, found by seed
+/// search, the largest job that missed its objective waited for 48 s while workers were half empty
+/// but under pressure from serving tasks.
 #[test]
 fn a_job_without_runs_starts_even_on_workers_under_pressure() {
     let mut world = World::new(1, 40_000);
--- a/crates/core/tests/flow/owner.rs
+++ b/crates/core/tests/flow/owner.rs
@@ -73,8 +73,8 @@
     assert_eq!(world.running().len(), 2);
 }
 
-/// Guards against a second run of a task while the first may continue under a permission that the
-/// predecessor granted.
+/// Guards against a second run of a task while the first may continue under a permission to run
+/// tasks that the previous owner granted.
 #[test]
 fn a_successor_waits_for_workers_that_have_not_reported() {
     let mut world = World::new(2, 10_000);
@@ -119,8 +119,9 @@
     assert_eq!(world.owner.phase(7), Some(Phase::Completed));
 }
 
-/// Guards against a start on a node that a successor would not wait for, because its permission had
-/// expired and it was removed from the stored roster before it reconnected.
+/// Guards against a second run of a task after a takeover. A new owner waits only for nodes in the
+/// stored roster. A node whose permission to run tasks has expired is removed from the roster;
+/// after its agent has reconnected, it must be in the stored roster again before tasks start there.
 #[test]
 fn a_node_that_left_the_roster_is_listed_again_before_it_is_used() {
     let mut world = World::new(1, 10_000);
@@ -144,9 +145,10 @@
     assert!(listed(&world) && world.running().len() == 1);
 }
 
-/// Guards against a successor that waits for the permissions of workers that have exited. In the
-/// trouble-1 scenario of the enlarged guide workload, 33 workers were replaced before a power loss
-/// on all machines; the earlier jobs did not resume for six seconds after the machines were back.
+/// Guards against a new owner that waits for the permissions of workers that have exited to expire.
+/// In the trouble-1 scenario of the enlarged guide workload, 33 workers were replaced before a
+/// power loss on all machines; the earlier jobs did not resume for six seconds after the machines
+/// were back.
 #[test]
 fn a_successor_does_not_wait_for_workers_that_have_exited() {
     let mut world = World::new(3, 10_000);
@@ -166,8 +168,8 @@
 }
 
 /// Guards against a burst of starts that all agents reject. This occurred in the trouble-1 scenario
-/// of the guide workload, when an owner regained its lease after its agents' permissions had
-/// expired.
+/// of the guide workload, when an owner regained its lease after the permissions of the workers to
+/// run tasks had expired.
 #[test]
 fn nothing_starts_on_an_agent_whose_permission_may_have_run_out() {
     let mut world = World::new(1, 10_000);
--- a/crates/core/tests/flow/pace.rs
+++ b/crates/core/tests/flow/pace.rs
@@ -12,6 +12,7 @@
     BestEffortTask { task: TaskId { job: 1, occurrence: 0, step: 0, index }, image, cpu, used }
 }
 
+/// Returns a serving task with an observed tail latency of `tail_ms`.
 fn serving(image: u32, tail_ms: u64) -> ServingTask {
     let task = TaskId { job: 2, occurrence: 0, step: 0, index: image };
     ServingTask { task, image, tail_ms, target_ms: TARGET }
@@ -71,9 +72,9 @@
     assert!(most - least <= 20 && *least >= 10, "{late:?}");
 }
 
-/// Guards against throttling best-effort tasks that do not interfere. In the enlarged guide
-/// workload all best-effort tasks of a worker got the same pace, although four in five did not
-/// interfere there.
+/// Guards against throttling best-effort tasks that do not raise the tail latency of serving tasks.
+/// In the enlarged guide workload all best-effort tasks of a worker got the same pace, although
+/// four in five did not interfere there.
 #[test]
 fn the_task_that_interferes_most_is_throttled_first() {
     let mut pacer = Pacer::default();
--- a/crates/core/tests/flow/place.rs
+++ b/crates/core/tests/flow/place.rs
@@ -8,7 +8,8 @@
 
 use crate::support::{job, ms, step, World};
 
-/// Guards against starting some tasks of a gang while there is no capacity for the others.
+/// Guards against starting some tasks of a gang, which must run together, while there is no
+/// capacity for the others.
 #[test]
 fn a_gang_starts_as_a_whole_or_not_at_all() {
     let mut world = World::new(2, 1_000);
--- a/crates/core/tests/flow/support.rs
+++ b/crates/core/tests/flow/support.rs
@@ -12,6 +12,7 @@
 use peridotfold_core::resources::Resources;
 use peridotfold_core::time::Time;
 
+/// For how long a pong permits a worker to run tasks.
 pub const PERMISSION: Duration = Duration::from_secs(6);
 
 pub fn ms(ms: u64) -> Duration {
@@ -58,10 +59,15 @@
 pub struct Worker {
     pub info: WorkerInfo,
     pub slot: Slot,
+    /// Number of the agent's session with the owner.
     pub session: Session,
+    /// Order of each run in progress.
     pub running: BTreeMap<TaskId, Start>,
+    /// Ends of runs that the owner has not acknowledged.
     pub ends: Vec<End>,
+    /// Sequence number of the last end that the owner has acknowledged.
     pub acknowledged: u64,
+    /// Sequence number of the next end.
     next_end: u64,
 }
 
@@ -71,11 +77,15 @@
     pub now: Time,
     pub owner: Owner,
     pub workers: Vec<Worker>,
+    /// All writes to the store.
     pub commits: Vec<Commit>,
+    /// Runs that the owner has ordered to stop.
     pub stopped: Vec<(TaskId, Run)>,
+    /// Starts that the owner has ordered: time, index of the worker, task and run.
     pub started: Vec<(Time, usize, TaskId, Run)>,
+    /// Event and detail of each logged decision.
     pub logs: Vec<(&'static str, String)>,
-    /// Pressure that all agents report.
+    /// Load on the worker that every agent reports in its pings.
     pub pressure: Pressure,
     /// Whether the store accepts writes.
     pub store_is_up: bool,
@@ -127,14 +137,14 @@
         self.attach(index);
     }
 
-    /// Opens a session for a worker's agent.
+    /// Opens a new session of a worker's agent with the owner.
     pub fn connect(&mut self, index: usize) {
         let (slot, session, _) = self.owner.connect(self.now, &format!("node-{index}"));
         self.workers[index].slot = slot;
         self.workers[index].session = session;
     }
 
-    /// Reports the full state of a worker in its session.
+    /// Reports the runs and ends of a worker to the owner, as the first report in a session.
     pub fn attach(&mut self, index: usize) {
         let worker = &self.workers[index];
         let running = worker.running.values().map(|start| Running {
@@ -199,6 +209,7 @@
         }
     }
 
+    /// Carries out a message of the owner on the worker whose agent has this session.
     fn deliver(&mut self, session: Session, message: OwnerMessage) {
         let Some(index) = self.workers.iter().position(|worker| worker.session == session) else {
             return;
@@ -223,7 +234,7 @@
         }
     }
 
-    /// Ends a run on a worker and reports the end.
+    /// Ends a run on a worker and reports the end to the owner.
     pub fn end(&mut self, index: usize, task: TaskId, kind: EndKind) {
         let worker = &mut self.workers[index];
         let Some(start) = worker.running.remove(&task) else { return };
@@ -247,6 +258,7 @@
         self.settle();
     }
 
+    /// Advances the clock in steps of 100 ms; all agents ping the owner in each step.
     pub fn advance(&mut self, by: Duration) {
         let step = ms(100);
         let until = self.now + by;
@@ -257,7 +269,7 @@
         }
     }
 
-    /// Sends a ping from every agent.
+    /// Sends the owner a ping from every agent, which renews the permissions to run tasks.
     pub fn ping(&mut self) {
         for worker in &self.workers {
             let up = AgentMessage::Ping {
