--- a/crates/core/src/flow.rs
+++ b/crates/core/src/flow.rs
@@ -12,13 +12,13 @@
 //! - An *incarnation* is the lifetime of one worker process, with its own worker ID.
 //! - A *long-running* task runs until its job is cancelled. A *serving* task is a long-running task
 //!   with a target for its tail latency.
-//! - A *gang* is the tasks of a step that must all run at the same time.
+//! - A *gang* is a step whose tasks must all run at the same time.
 //! - An *image* is the program that a task runs, identified by the hash of its name.
 //! - A *best-effort* task reserves no CPU and runs on what other tasks leave idle. Its *pace* is
 //!   the CPU that it may use, in percent of what it requests.
 //! - *Interference* is the rise of a serving task's tail latency caused by best-effort tasks on the
-//!   same worker. The interference *weight* of a serving image and a best-effort image is the
-//!   rise of the logarithm of the tail latency if the best-effort image uses all CPU of the worker.
+//!   same worker. The interference *weight* of a serving image and a best-effort image is the rise
+//!   of the logarithm of the tail latency if the best-effort image uses all CPU of the worker.
 //! - The *roster* is the stored list of nodes whose agents may hold a permission.
 
 pub mod interference;
--- a/crates/core/src/flow/interference.rs
+++ b/crates/core/src/flow/interference.rs
@@ -44,7 +44,9 @@
 pub struct InterferenceRow {
     pub serving: Image,
     pub best_effort: Image,
+    /// Estimate of the weight.
     pub mean: f32,
+    /// Variance of the estimate.
     pub variance: f32,
 }
 
--- a/crates/core/src/flow/message.rs
+++ b/crates/core/src/flow/message.rs
@@ -34,7 +34,7 @@
 /// How a run ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndKind {
-    /// The task has finished.
+    /// The task has finished successfully.
     Done,
     /// The task or the worker failed.
     Failed,
@@ -51,6 +51,7 @@
 /// The end of a run. A worker includes each end in its listings until the owner acknowledges it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct End {
+    /// Sequence number, by which the end is acknowledged.
     pub number: EndNumber,
     pub task: TaskId,
     pub run: Run,
@@ -77,8 +78,11 @@
 pub struct WorkerInfo {
     /// Worker ID; unique for each incarnation.
     pub id: String,
+    /// Service whose jobs the worker runs.
     pub service: String,
+    /// Zone in which the worker runs.
     pub zone: String,
+    /// Resources that the worker offers to tasks.
     pub capacity: Resources,
     /// Labels that a step may require; by convention the machine kind comes first and the rack
     /// second.
@@ -115,6 +119,7 @@
 pub struct Start {
     pub task: TaskId,
     pub run: Run,
+    /// Command that the worker executes; passed on unchanged.
     pub command: String,
     /// Checkpoint from which the task continues; empty to start from the beginning.
     pub checkpoint: String,
--- a/crates/core/src/flow/owner.rs
+++ b/crates/core/src/flow/owner.rs
@@ -50,7 +50,8 @@
 /// Settings of an owner.
 #[derive(Debug, Clone)]
 pub struct OwnerSettings {
-    /// Number of this owner's term; part of the fencing tokens, and higher for each new owner.
+    /// Fencing epoch: number of this owner's term. It is part of the fencing tokens and higher for
+    /// each new owner.
     pub epoch: u32,
     /// For how long a pong permits a worker to run tasks.
     pub permission: Duration,
--- a/crates/core/src/flow/pace.rs
+++ b/crates/core/src/flow/pace.rs
@@ -23,9 +23,8 @@
 /// Rise of the logarithm of a tail latency that best-effort tasks may always cause, unless the
 /// target has been exceeded for longer than [`MAX_OVER_TARGET`]. It is too small to be measured.
 const MIN_BUDGET: f64 = 0.01;
-/// Time for which a tail latency may exceed its target before all best-effort tasks on the
-/// worker are stopped. It is half the time that
-/// users tolerate.
+/// Time for which a tail latency may exceed its target before all best-effort tasks on the worker
+/// are stopped. It is half the time that users tolerate.
 const MAX_OVER_TARGET: Duration = Duration::from_secs(2);
 /// Minimum interference weight, because learned weights are imprecise.
 const MIN_WEIGHT: f64 = 0.02;
--- a/crates/core/src/flow/place.rs
+++ b/crates/core/src/flow/place.rs
@@ -62,6 +62,7 @@
     /// Remaining CPU time of the job, in thousandths of a core times milliseconds, so that small
     /// jobs do not wait for a large one.
     remaining_work: u64,
+    /// When the job was submitted or taken over, or its newest occurrence became due.
     released_at: Time,
 }
 
--- a/crates/core/src/flow/place/best_effort.rs
+++ b/crates/core/src/flow/place/best_effort.rs
@@ -16,8 +16,8 @@
 /// tasks. Above this the tasks that it already has finish sooner without new ones.
 const MAX_TAIL_PERCENT: f64 = 75.0;
 /// Rise of the logarithm of a serving image's tail latency up to which the interference of new
-/// best-effort tasks is ignored, about 2 %. It is smaller than
-/// the change that the serving tasks' own load causes within a second.
+/// best-effort tasks is ignored, about 2 %. It is smaller than the change that the serving tasks'
+/// own load causes within a second.
 const MIN_RISE: f64 = 0.02;
 /// CPU that best-effort tasks may use, in percent of their request, below which a node gets no more
 /// best-effort tasks that interfere with its serving tasks.
--- a/crates/core/src/flow/progress.rs
+++ b/crates/core/src/flow/progress.rs
@@ -9,10 +9,12 @@
 /// Lifecycle phase of a job.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
-    #[default]
     /// No task has started yet.
+    #[default]
     Queued,
+    /// At least one task has started.
     Running,
+    /// All tasks of all occurrences are done.
     Completed,
     /// A task has failed as often as its queue allows.
     Failed,
--- a/crates/core/tests/flow/interference.rs
+++ b/crates/core/tests/flow/interference.rs
@@ -10,7 +10,8 @@
 
 use crate::support::ms;
 
-const ROOM: u64 = 16_000;
+/// CPU of the worker, in thousandths of a core.
+const CAPACITY: u64 = 16_000;
 
 /// Guards against mistaking a pair with strong interference for a weak one. In the enlarged auction
 /// workload scenario one pair in five interferes ten times as strongly as the others. Only tail
@@ -30,11 +31,11 @@
         let rise = |serving: Image, own: f64| {
             let pressed: f64 =
                 changes.iter().map(|(f, by)| weight(serving, *f) * f64::from(*by)).sum();
-            (serving, (pressed / ROOM as f64 * 1_000.0 + own) as i32)
+            (serving, (pressed / CAPACITY as f64 * 1_000.0 + own) as i32)
         };
         let serving = [random.u32(0..9), random.u32(0..9)];
         let rises = serving.map(|image| rise(image, 600.0 * (random.f64() - 0.5))).to_vec();
-        interference.learn(&Sample { rises, changes }, ROOM);
+        interference.learn(&Sample { rises, changes }, CAPACITY);
     }
     let pairs = (0..9).flat_map(|serving| (0..18).map(move |best_effort| (serving, best_effort)));
     let (heavy, light): (Vec<_>, Vec<_>) = pairs.partition(|(s, f)| weight(*s, *f) > 1.0);
--- a/crates/core/tests/flow/load.rs
+++ b/crates/core/tests/flow/load.rs
@@ -71,6 +71,7 @@
     assert_eq!(begun(&world), 1, "but the job has to make progress");
 }
 
+/// Returns a step of six best-effort tasks.
 fn best_effort() -> Step {
     Step { best_effort: true, image: "filler".to_owned(), ..step(6, 1_000, 60_000) }
 }
--- a/crates/core/tests/flow/node.rs
+++ b/crates/core/tests/flow/node.rs
@@ -52,6 +52,7 @@
     node
 }
 
+/// Takes the agent's actions and returns its calls to the worker.
 fn calls(node: &mut AgentState) -> Vec<Call> {
     let actions = node.take_actions().into_iter();
     actions.filter_map(|a| if let Action::Call(call) = a { Some(call) } else { None }).collect()
@@ -66,8 +67,8 @@
     node.receive(ms(5), start(1));
     node.take_actions();
     node.started(ms(1_005), "life-1", TASK, 1, Outcome::Unclear);
-    let looks = calls(&mut node);
-    assert!(matches!(looks[..], [Call::List { token: 101, .. }]), "{looks:?}");
+    let listings = calls(&mut node);
+    assert!(matches!(listings[..], [Call::List { token: 101, .. }]), "{listings:?}");
     // A listing with the old token does not show that the start will be refused.
     node.listed(ms(1_006), "life-1", 100, 2_000, Vec::new(), Vec::new());
     let is_given_up = |node: &mut AgentState| {
@@ -96,13 +97,16 @@
 fn a_start_deadline_passes_before_the_permission_on_a_slow_clock() {
     let mut node = attached(100);
     node.receive(ms(10), start(1));
-    let lapses = calls(&mut node).into_iter().find_map(|call| match call {
+    let start_deadline = calls(&mut node).into_iter().find_map(|call| match call {
         Call::Start { deadline, .. } => Some(deadline),
         _ => None,
     });
     // The worker's clock showed 1,000 ms at 3 ms, and the permission expires at 6,004 ms.
     let slow_clock_at_end = 1_000 + (6_004 - 3) * 98 / 100;
-    assert!(lapses.is_some_and(|deadline| deadline <= slow_clock_at_end), "{lapses:?}");
+    assert!(
+        start_deadline.is_some_and(|deadline| deadline <= slow_clock_at_end),
+        "{start_deadline:?}"
+    );
 }
 
 /// Guards against ends that are reported to the owner twice or not at all.
--- a/crates/core/tests/flow/pace.rs
+++ b/crates/core/tests/flow/pace.rs
@@ -5,8 +5,10 @@
 
 use crate::support::ms;
 
-const TARGET: u32 = 50;
-const ROOM: u64 = 16_000;
+/// Target for the tail latency of serving tasks, in milliseconds.
+const TARGET_MS: u32 = 50;
+/// CPU of the worker, in thousandths of a core.
+const CAPACITY: u64 = 16_000;
 
 fn best_effort(index: u32, image: u32, cpu: u64, used: u64) -> BestEffortTask {
     BestEffortTask { task: TaskId { job: 1, occurrence: 0, step: 0, index }, image, cpu, used }
@@ -15,25 +17,26 @@
 /// Returns a serving task with an observed tail latency of `tail_ms`.
 fn serving(image: u32, tail_ms: u64) -> ServingTask {
     let task = TaskId { job: 2, occurrence: 0, step: 0, index: image };
-    ServingTask { task, image, tail_ms, target_ms: TARGET }
+    ServingTask { task, image, tail_ms, target_ms: TARGET_MS }
 }
 
-/// Simulates `seconds` with a tail latency of `alone` that best-effort tasks at full pace raise by
-/// the factor `1 + slowdown`. Returns the pace and tail latency of each half second.
+/// Simulates `seconds` with a tail latency of `baseline` milliseconds that best-effort tasks at
+/// full pace raise by the factor `1 + slowdown`. Returns the pace and tail latency of each half
+/// second.
 fn simulate(
     pacer: &mut Pacer,
     from_ms: u64,
     seconds: u64,
-    baselines: f64,
+    baseline: f64,
     slowdown: f64,
 ) -> Vec<(u32, f64)> {
     let mut pace = pacer.pressure().level;
-    let looks = (0..seconds * 2).map(|n| from_ms + n * 500);
-    looks
+    let times = (0..seconds * 2).map(|n| from_ms + n * 500);
+    times
         .map(|at| {
-            let tail = baselines * (1.0 + slowdown * f64::from(pace) / 100.0);
-            let tasks = [best_effort(0, 2, ROOM, ROOM * u64::from(pace) / 100)];
-            let paces = pacer.observe(ms(at), ROOM, &[serving(1, tail as u64)], &tasks);
+            let tail = baseline * (1.0 + slowdown * f64::from(pace) / 100.0);
+            let tasks = [best_effort(0, 2, CAPACITY, CAPACITY * u64::from(pace) / 100)];
+            let paces = pacer.observe(ms(at), CAPACITY, &[serving(1, tail as u64)], &tasks);
             pace = paces[0].1;
             (pace, tail)
         })
@@ -58,7 +61,7 @@
 fn a_task_above_its_target_by_interference_is_below_it_within_two_seconds() {
     let mut pacer = Pacer::default();
     let rows = simulate(&mut pacer, 0, 30, 25.0, 4.0);
-    let longest = rows.split(|(_, tail)| *tail < f64::from(TARGET)).map(<[_]>::len).max();
+    let longest = rows.split(|(_, tail)| *tail < f64::from(TARGET_MS)).map(<[_]>::len).max();
     assert!(longest <= Some(4), "{longest:?} half seconds above the target: {rows:?}");
 }
 
@@ -84,12 +87,12 @@
     pacer.set_weight(2, 11, 50);
     let tails = [serving(1, 60), serving(2, 10)];
     let tasks = [best_effort(0, 10, 4_000, 4_000), best_effort(1, 11, 4_000, 4_000)];
-    let paces = pacer.observe(ms(500), ROOM, &tails, &tasks);
+    let paces = pacer.observe(ms(500), CAPACITY, &tails, &tasks);
     assert!((50..90).contains(&paces[0].1), "throttled to meet the target: {paces:?}");
     assert_eq!(paces[1].1, 100, "the task does not interfere");
     pacer.set_weight(2, 10, 6_000);
     pacer.set_weight(1, 10, 50);
-    let paces = pacer.observe(ms(1_000), ROOM, &[serving(2, 10)], &tasks);
+    let paces = pacer.observe(ms(1_000), CAPACITY, &[serving(2, 10)], &tasks);
     assert_eq!(paces[0].1, 100, "the image it interferes with is far below its target");
 }
 
@@ -102,7 +105,7 @@
     let mut paces = Vec::new();
     for at in 1..6 {
         let tasks = [best_effort(0, 10, 1_000, 1_000)];
-        paces.push(pacer.observe(ms(at * 500), ROOM, &[serving(1, 80)], &tasks)[0].1);
+        paces.push(pacer.observe(ms(at * 500), CAPACITY, &[serving(1, 80)], &tasks)[0].1);
     }
     assert_eq!(paces[0], 100, "{paces:?}");
     assert_eq!(paces[4], 0, "{paces:?}");
--- a/crates/core/tests/flow/support.rs
+++ b/crates/core/tests/flow/support.rs
@@ -28,6 +28,7 @@
     }
 }
 
+/// Returns a queue that fails a job after `attempts` failures of one task.
 pub fn queue(attempts: u32) -> Queue {
     Queue {
         name: "host.example/queue/".to_owned(),
@@ -40,10 +41,12 @@
     }
 }
 
+/// Returns a step of `count` tasks that each request `cpu` thousandths of a core.
 pub fn step(count: u32, cpu: u64, estimate_ms: u64) -> Step {
     Step { count, need: Resources::new(cpu, 100, 0), estimate_ms, ..Step::default() }
 }
 
+/// Returns a job that fails after `attempts` failures of one task.
 pub fn job(attempts: u32, steps: Vec<Step>) -> JobSpec {
     JobSpec {
         queue: queue(attempts),
@@ -92,6 +95,7 @@
 }
 
 impl World {
+    /// Returns a world with `workers` connected workers of `cpu` thousandths of a core each.
     pub fn new(workers: usize, cpu: u64) -> Self {
         let owner = Owner::new(settings(1), Time::ZERO);
         let mut world = World {
@@ -113,6 +117,7 @@
         world
     }
 
+    /// Adds a worker with `cpu` thousandths of a core and connects its agent to the owner.
     pub fn add_worker(&mut self, index: usize, cpu: u64) {
         let info = WorkerInfo {
             id: format!("life-{index}"),
@@ -282,6 +287,7 @@
         }
     }
 
+    /// Submits a job to the owner and carries out the owner's orders.
     pub fn submit(&mut self, number: JobNumber, spec: JobSpec) {
         self.owner.submit(self.now, number, spec);
         self.settle();
