--- a/crates/core/src/flow/node.rs
+++ b/crates/core/src/flow/node.rs
@@ -489,9 +489,9 @@
             if let Some(session) = &mut self.session {
                 session.is_attached = true;
             }
-            let nothing =
+            let report =
                 AgentMessage::Attach { worker: None, running: Vec::new(), ends: Vec::new() };
-            self.actions.push(Action::Send(nothing));
+            self.actions.push(Action::Send(report));
         }
         if is_attached && now >= self.next_checkpoint_report {
             self.next_checkpoint_report = now + CHECKPOINT_INTERVAL;
--- a/crates/core/src/flow/place/best_effort.rs
+++ b/crates/core/src/flow/place/best_effort.rs
@@ -112,8 +112,8 @@
     pub(in crate::flow) fn weights(&self, slot: Slot) -> Vec<(Image, Image, u32)> {
         let node = &self.nodes[slot];
         let pairs =
-            node.best_effort_cpu.keys().flat_map(|f| node.serving.keys().map(move |s| (*s, *f)));
-        pairs.map(|(s, f)| (s, f, self.interference.scaled_weight(s, f))).collect()
+            node.best_effort_cpu.keys().flat_map(|b| node.serving.keys().map(move |s| (*s, *b)));
+        pairs.map(|(s, b)| (s, b, self.interference.scaled_weight(s, b))).collect()
     }
 
     /// Returns the highest expected tail latency with all best-effort tasks of the node at full
--- a/crates/core/tests/flow/interference.rs
+++ b/crates/core/tests/flow/interference.rs
@@ -29,16 +29,16 @@
         let changes: Vec<(Image, i32)> =
             (0..2).map(|_| (random.u32(0..18), random.i32(-3_200..3_200))).collect();
         let rise = |serving: Image, own: f64| {
-            let pressed: f64 =
-                changes.iter().map(|(f, by)| weight(serving, *f) * f64::from(*by)).sum();
-            (serving, (pressed / CAPACITY as f64 * 1_000.0 + own) as i32)
+            let caused: f64 =
+                changes.iter().map(|(b, by)| weight(serving, *b) * f64::from(*by)).sum();
+            (serving, (caused / CAPACITY as f64 * 1_000.0 + own) as i32)
         };
         let serving = [random.u32(0..9), random.u32(0..9)];
         let rises = serving.map(|image| rise(image, 600.0 * (random.f64() - 0.5))).to_vec();
         interference.learn(&Sample { rises, changes }, CAPACITY);
     }
     let pairs = (0..9).flat_map(|serving| (0..18).map(move |best_effort| (serving, best_effort)));
-    let (heavy, light): (Vec<_>, Vec<_>) = pairs.partition(|(s, f)| weight(*s, *f) > 1.0);
+    let (heavy, light): (Vec<_>, Vec<_>) = pairs.partition(|(s, b)| weight(*s, *b) > 1.0);
     let known =
         |(serving, best_effort): &(Image, Image)| interference.weight(*serving, *best_effort);
     let lightest_heavy = heavy.iter().map(known).fold(f64::MAX, f64::min);
--- a/crates/core/tests/flow/support.rs
+++ b/crates/core/tests/flow/support.rs
@@ -159,13 +159,13 @@
             percent: 0,
             load: 0,
         });
-        let up = AgentMessage::Attach {
+        let report = AgentMessage::Attach {
             worker: Some(worker.info.clone()),
             running: running.collect(),
             ends: worker.ends.clone(),
         };
         let (slot, session) = (worker.slot, worker.session);
-        self.owner.receive(self.now, slot, session, up);
+        self.owner.receive(self.now, slot, session, report);
     }
 
     /// Replaces the owner with a new one that loads the committed records.
@@ -247,8 +247,8 @@
             End { number: worker.next_end, task, run: start.run, kind, checkpoint: String::new() };
         worker.next_end += 1;
         worker.ends.push(end.clone());
-        let up = AgentMessage::Ends { worker: worker.info.id.clone(), ends: vec![end] };
-        self.owner.receive(self.now, worker.slot, worker.session, up);
+        let report = AgentMessage::Ends { worker: worker.info.id.clone(), ends: vec![end] };
+        self.owner.receive(self.now, worker.slot, worker.session, report);
     }
 
     /// Ends all running tasks that `pick` selects.
@@ -277,13 +277,13 @@
     /// Sends the owner a ping from every agent, which renews the permissions to run tasks.
     pub fn ping(&mut self) {
         for worker in &self.workers {
-            let up = AgentMessage::Ping {
+            let report = AgentMessage::Ping {
                 sent: self.now,
                 pressure: self.pressure,
                 samples: Vec::new(),
                 baselines: Vec::new(),
             };
-            self.owner.receive(self.now, worker.slot, worker.session, up);
+            self.owner.receive(self.now, worker.slot, worker.session, report);
         }
     }
 
