--- a/crates/core/tests/flow/interference.rs
+++ b/crates/core/tests/flow/interference.rs
@@ -10,7 +10,8 @@
 
 use crate::support::ms;
 
-const ROOM: u64 = 16_000;
+/// CPU of the worker, in thousandths of a core.
+const CAPACITY: u64 = 16_000;
 
 /// Guards against mistaking a pair with strong interference for a weak one. In the enlarged auction
 /// workload scenario one pair in five interferes ten times as strongly as the others. Only tail
@@ -28,16 +29,16 @@
         let changes: Vec<(Image, i32)> =
             (0..2).map(|_| (random.u32(0..18), random.i32(-3_200..3_200))).collect();
         let rise = |serving: Image, own: f64| {
-            let pressed: f64 =
-                changes.iter().map(|(f, by)| weight(serving, *f) * f64::from(*by)).sum();
-            (serving, (pressed / ROOM as f64 * 1_000.0 + own) as i32)
+            let caused: f64 =
+                changes.iter().map(|(b, by)| weight(serving, *b) * f64::from(*by)).sum();
+            (serving, (caused / CAPACITY as f64 * 1_000.0 + own) as i32)
         };
         let serving = [random.u32(0..9), random.u32(0..9)];
         let rises = serving.map(|image| rise(image, 600.0 * (random.f64() - 0.5))).to_vec();
-        interference.learn(&Sample { rises, changes }, ROOM);
+        interference.learn(&Sample { rises, changes }, CAPACITY);
     }
     let pairs = (0..9).flat_map(|serving| (0..18).map(move |best_effort| (serving, best_effort)));
-    let (heavy, light): (Vec<_>, Vec<_>) = pairs.partition(|(s, f)| weight(*s, *f) > 1.0);
+    let (heavy, light): (Vec<_>, Vec<_>) = pairs.partition(|(s, b)| weight(*s, *b) > 1.0);
     let known =
         |(serving, best_effort): &(Image, Image)| interference.weight(*serving, *best_effort);
     let lightest_heavy = heavy.iter().map(known).fold(f64::MAX, f64::min);
@@ -57,8 +58,9 @@
     BestEffortTask { task: task(index), image, cpu: 4_000, used }
 }
 
-/// Guards against learning from tasks that were not in the previous listing, or from listings so
-/// far apart that the load has changed.
+/// Guards against learning interference from wrong changes of tail latencies: of tasks that were
+/// not in the worker's previous listing, or between listings so far apart that the load has
+/// changed.
 #[test]
 fn learning_uses_only_tasks_in_two_close_listings() {
     let mut sampler = Sampler::default();
--- a/crates/core/tests/flow/support.rs
+++ b/crates/core/tests/flow/support.rs
@@ -12,6 +12,7 @@
 use peridotfold_core::resources::Resources;
 use peridotfold_core::time::Time;
 
+/// For how long a pong permits a worker to run tasks.
 pub const PERMISSION: Duration = Duration::from_secs(6);
 
 pub fn ms(ms: u64) -> Duration {
@@ -27,6 +28,7 @@
     }
 }
 
+/// Returns a queue that fails a job after `attempts` failures of one task.
 pub fn queue(attempts: u32) -> Queue {
     Queue {
         name: "host.example/queue/".to_owned(),
@@ -39,10 +41,12 @@
     }
 }
 
+/// Returns a step of `count` tasks that each request `cpu` thousandths of a core.
 pub fn step(count: u32, cpu: u64, estimate_ms: u64) -> Step {
     Step { count, need: Resources::new(cpu, 100, 0), estimate_ms, ..Step::default() }
 }
 
+/// Returns a job that fails after `attempts` failures of one task.
 pub fn job(attempts: u32, steps: Vec<Step>) -> JobSpec {
     JobSpec {
         queue: queue(attempts),
@@ -58,10 +62,15 @@
 pub struct Worker {
     pub info: WorkerInfo,
     pub slot: Slot,
+    /// Number of the agent's session with the owner.
     pub session: Session,
+    /// Order of each run in progress.
     pub running: BTreeMap<TaskId, Start>,
+    /// Ends of runs that the owner has not acknowledged.
     pub ends: Vec<End>,
+    /// Sequence number of the last end that the owner has acknowledged.
     pub acknowledged: u64,
+    /// Sequence number of the next end.
     next_end: u64,
 }
 
@@ -71,17 +80,22 @@
     pub now: Time,
     pub owner: Owner,
     pub workers: Vec<Worker>,
+    /// All writes to the store.
     pub commits: Vec<Commit>,
+    /// Runs that the owner has ordered to stop.
     pub stopped: Vec<(TaskId, Run)>,
+    /// Starts that the owner has ordered: time, index of the worker, task and run.
     pub started: Vec<(Time, usize, TaskId, Run)>,
+    /// Event and detail of each logged decision.
     pub logs: Vec<(&'static str, String)>,
-    /// Pressure that all agents report.
+    /// Load on the worker that every agent reports in its pings.
     pub pressure: Pressure,
     /// Whether the store accepts writes.
     pub store_is_up: bool,
 }
 
 impl World {
+    /// Returns a world with `workers` connected workers of `cpu` thousandths of a core each.
     pub fn new(workers: usize, cpu: u64) -> Self {
         let owner = Owner::new(settings(1), Time::ZERO);
         let mut world = World {
@@ -103,6 +117,7 @@
         world
     }
 
+    /// Adds a worker with `cpu` thousandths of a core and connects its agent to the owner.
     pub fn add_worker(&mut self, index: usize, cpu: u64) {
         let info = WorkerInfo {
             id: format!("life-{index}"),
@@ -127,14 +142,14 @@
         self.attach(index);
     }
 
-    /// Opens a session for a worker's agent.
+    /// Opens a new session of a worker's agent with the owner.
     pub fn connect(&mut self, index: usize) {
         let (slot, session, _) = self.owner.connect(self.now, &format!("node-{index}"));
         self.workers[index].slot = slot;
         self.workers[index].session = session;
     }
 
-    /// Reports the full state of a worker in its session.
+    /// Reports the runs and ends of a worker to the owner, as the first report in a session.
     pub fn attach(&mut self, index: usize) {
         let worker = &self.workers[index];
         let running = worker.running.values().map(|start| Running {
@@ -144,13 +159,13 @@
             percent: 0,
             load: 0,
         });
-        let up = AgentMessage::Attach {
+        let report = AgentMessage::Attach {
             worker: Some(worker.info.clone()),
             running: running.collect(),
             ends: worker.ends.clone(),
         };
         let (slot, session) = (worker.slot, worker.session);
-        self.owner.receive(self.now, slot, session, up);
+        self.owner.receive(self.now, slot, session, report);
     }
 
     /// Replaces the owner with a new one that loads the committed records.
@@ -199,6 +214,7 @@
         }
     }
 
+    /// Carries out a message of the owner on the worker whose agent has this session.
     fn deliver(&mut self, session: Session, message: OwnerMessage) {
         let Some(index) = self.workers.iter().position(|worker| worker.session == session) else {
             return;
@@ -223,7 +239,7 @@
         }
     }
 
-    /// Ends a run on a worker and reports the end.
+    /// Ends a run on a worker and reports the end to the owner.
     pub fn end(&mut self, index: usize, task: TaskId, kind: EndKind) {
         let worker = &mut self.workers[index];
         let Some(start) = worker.running.remove(&task) else { return };
@@ -231,8 +247,8 @@
             End { number: worker.next_end, task, run: start.run, kind, checkpoint: String::new() };
         worker.next_end += 1;
         worker.ends.push(end.clone());
-        let up = AgentMessage::Ends { worker: worker.info.id.clone(), ends: vec![end] };
-        self.owner.receive(self.now, worker.slot, worker.session, up);
+        let report = AgentMessage::Ends { worker: worker.info.id.clone(), ends: vec![end] };
+        self.owner.receive(self.now, worker.slot, worker.session, report);
     }
 
     /// Ends all running tasks that `pick` selects.
@@ -247,6 +263,7 @@
         self.settle();
     }
 
+    /// Advances the clock in steps of 100 ms; all agents ping the owner in each step.
     pub fn advance(&mut self, by: Duration) {
         let step = ms(100);
         let until = self.now + by;
@@ -257,19 +274,20 @@
         }
     }
 
-    /// Sends a ping from every agent.
+    /// Sends the owner a ping from every agent, which renews the permissions to run tasks.
     pub fn ping(&mut self) {
         for worker in &self.workers {
-            let up = AgentMessage::Ping {
+            let report = AgentMessage::Ping {
                 sent: self.now,
                 pressure: self.pressure,
                 samples: Vec::new(),
                 baselines: Vec::new(),
             };
-            self.owner.receive(self.now, worker.slot, worker.session, up);
+            self.owner.receive(self.now, worker.slot, worker.session, report);
         }
     }
 
+    /// Submits a job to the owner and carries out the owner's orders.
     pub fn submit(&mut self, number: JobNumber, spec: JobSpec) {
         self.owner.submit(self.now, number, spec);
         self.settle();
