--- a/crates/bench/src/recovery.rs
+++ b/crates/bench/src/recovery.rs
@@ -320,7 +320,7 @@
         self.after(OWNER_POLL, Input::Poll(cell));
         if !batch.is_empty() {
             let owner = &mut self.owners[cell];
-            owner.log_bytes += batch.iter().map(Event::size).sum::<usize>();
+            owner.log_bytes += batch.iter().map(Event::encoded_size).sum::<usize>();
             // A full log is cleared after its snapshot is written.
             let rotates = owner.log_bytes > LOG_LIMIT;
             if rotates {
--- a/crates/core/src/cell/attempts.rs
+++ b/crates/core/src/cell/attempts.rs
@@ -116,9 +116,10 @@
                 let reason: String = reason.chars().take(MAX_REASON_CHARS).collect();
                 let counted = !self.is_quarantined(now, slot);
                 self.last_failure.insert(id.job.clone(), now);
-                let suspect = self.state.jobs.get(&id.job).is_some_and(|job| job.is_suspect);
+                let failed_before =
+                    self.state.jobs.get(&id.job).is_some_and(|job| job.failed_recently);
                 self.end_attempt(slot, Event::Failed { attempt: id.clone(), reason, counted }, id);
-                if !suspect {
+                if !failed_before {
                     self.record_failure(now, slot, &id.job);
                 }
             }
--- a/crates/core/src/cell/jobs.rs
+++ b/crates/core/src/cell/jobs.rs
@@ -91,7 +91,7 @@
         if !validation_errors.is_empty() {
             return SubmitReply::Invalid(validation_errors);
         }
-        let size = spec.size();
+        let size = spec.encoded_size();
         if self.state_size + size > MAX_STATE_BYTES_FOR_SUBMIT {
             return SubmitReply::Full;
         }
@@ -107,7 +107,7 @@
     /// Requests the cancellation of a job. `team` restricts the request to jobs of that team;
     /// operators pass `None` and may cancel any job.
     pub fn cancel(&mut self, team: Option<&str>, id: &str, ticket: Ticket) -> CancelReply {
-        let Some(job) = self.visible(team, id) else { return CancelReply::NotFound };
+        let Some(job) = self.visible_job(team, id) else { return CancelReply::NotFound };
         match job.phase {
             Phase::Completed | Phase::Failed | Phase::Unrunnable => CancelReply::Ended,
             Phase::Cancelling | Phase::Cancelled => {
@@ -138,14 +138,14 @@
     }
 
     /// Returns the job if `team` may see it; `None` as team stands for an operator.
-    fn visible(&self, team: Option<&str>, id: &str) -> Option<&Job> {
+    fn visible_job(&self, team: Option<&str>, id: &str) -> Option<&Job> {
         let job = self.state.jobs.get(id)?;
         team.is_none_or(|team| job.spec.team == team).then_some(job)
     }
 
     /// Returns the status of one job if `team` may see it.
     pub fn show(&self, cell: &str, team: Option<&str>, id: &str) -> Option<JobView> {
-        self.visible(team, id).map(|job| self.view(cell, job))
+        self.visible_job(team, id).map(|job| self.view(cell, job))
     }
 
     /// Returns the status of the jobs that `team` may see, newest first, up to a fixed number.
@@ -197,7 +197,7 @@
 
     /// Recomputes the estimated size of the cell's state.
     pub(super) fn update_state_size(&mut self) {
-        self.state_size = self.state.jobs.values().map(Job::size).sum();
+        self.state_size = self.state.jobs.values().map(Job::encoded_size).sum();
     }
 
     /// Returns the checkpoint if it fits the size limits. Without it the task resumes from its
--- a/crates/core/src/cell/owner.rs
+++ b/crates/core/src/cell/owner.rs
@@ -305,7 +305,7 @@
         let mut remaining_bytes = MAX_BATCH_BYTES;
         loop {
             while let Some(event) = self.pending.get(count) {
-                let size = event.size();
+                let size = event.encoded_size();
                 if size > remaining_bytes && count > 0 {
                     return count;
                 }
--- a/crates/core/src/cell/state.rs
+++ b/crates/core/src/cell/state.rs
@@ -36,7 +36,7 @@
 
 impl JobSpec {
     /// Returns an upper estimate of the encoded size, in bytes, of a job that has not started.
-    pub fn size(&self) -> usize {
+    pub fn encoded_size(&self) -> usize {
         const FIXED_BYTES: usize = 40;
         FIXED_BYTES + self.id.len() + self.team.len() + self.class.len() + self.command.len()
     }
@@ -113,7 +113,7 @@
 
 impl Event {
     /// Returns an upper estimate of the encoded size in bytes.
-    pub fn size(&self) -> usize {
+    pub fn encoded_size(&self) -> usize {
         const FIXED_BYTES: usize = 48;
         // A close estimate, because bursts of cancellations have to share one batch.
         const CANCEL_BYTES: usize = 8;
@@ -233,7 +233,7 @@
     /// Workers on which the job failed, without those found faulty since.
     pub failed_on: BTreeSet<AgentId>,
     /// Whether the job has failed since its last completed task.
-    pub is_suspect: bool,
+    pub failed_recently: bool,
 }
 
 impl Job {
@@ -252,7 +252,7 @@
             started: 0,
             evictions: 0,
             failed_on: BTreeSet::new(),
-            is_suspect: false,
+            failed_recently: false,
         }
     }
 
@@ -262,14 +262,14 @@
     }
 
     /// Returns an upper estimate of the encoded size in bytes.
-    pub fn size(&self) -> usize {
+    pub fn encoded_size(&self) -> usize {
         const ATTEMPT_BYTES: usize = 16;
         let agents = self.attempts.values().map(|attempt| attempt.agent.len());
         let waiting = self.requeued.values();
         let resumes = waiting.chain(self.attempts.values().map(|attempt| &attempt.resume));
         let checkpoints = resumes.filter_map(|resume| resume.checkpoint.as_ref()).map(Bytes::len);
         let failed_on = self.failed_on.iter().map(String::len);
-        self.spec.size()
+        self.spec.encoded_size()
             + self.reason.as_ref().map_or(0, String::len)
             + ATTEMPT_BYTES * (self.requeued.len() + self.attempts.len())
             + agents.chain(checkpoints).chain(failed_on).sum::<usize>()
@@ -359,7 +359,7 @@
             Event::Completed { attempt } => {
                 self.end_attempt(attempt, |job, _| {
                     job.completed += 1;
-                    job.is_suspect = false;
+                    job.failed_recently = false;
                 });
             }
             Event::Evicted { attempt, checkpoint } => {
@@ -498,7 +498,7 @@
     }
     let failures = ended.resume.failures + 1;
     requeue(job, task, Resume { failures, ..ended.resume });
-    job.is_suspect = true;
+    job.failed_recently = true;
     if counted {
         job.failed_on.insert(ended.agent);
     }
--- a/crates/core/src/cell/worker.rs
+++ b/crates/core/src/cell/worker.rs
@@ -295,9 +295,9 @@
     }
 
     /// Tells whether the record can be dropped: no attempt is left and all ends are committed.
-    pub fn is_removable(&self, committed: u64) -> bool {
+    pub fn is_removable(&self, committed_events: u64) -> bool {
         self.attempts.is_empty()
-            && self.uncommitted_ends.values().all(|sequence| *sequence <= committed)
+            && self.uncommitted_ends.values().all(|sequence| *sequence <= committed_events)
     }
 
     /// Returns the name of the worker's state. `silent` is the time without a report after which
--- a/crates/core/src/ledger.rs
+++ b/crates/core/src/ledger.rs
@@ -302,7 +302,7 @@
     pub fn enforce_limits(&mut self, now: Time) -> Vec<LimitAction> {
         let mut actions = Vec::new();
         while let Some((class, overuse)) = self.excess(|task| !task.stopping) {
-            let Some(victim) = self.newest_offender(class.as_deref(), &overuse) else { break };
+            let Some(victim) = self.choose_victim(class.as_deref(), &overuse) else { break };
             let settle_time = self.settle_time;
             let Some(task) = self.tasks.get_mut(&victim) else { break };
             match task.throttled_at {
@@ -319,13 +319,13 @@
             }
         }
         if actions.is_empty() && !self.is_overcommitted() {
-            actions.extend(self.restore(now));
+            actions.extend(self.restore_throttled(now));
         }
         actions
     }
 
     /// Restores the oldest throttled task whose full-speed usage fits the limits.
-    fn restore(&mut self, now: Time) -> Option<LimitAction> {
+    fn restore_throttled(&mut self, now: Time) -> Option<LimitAction> {
         let settle_time = self.settle_time;
         let is_restorable = |attempt: &AttemptId, task: &Reservation| {
             let due = task.throttled_at.is_some_and(|at| now >= at + settle_time);
@@ -392,7 +392,7 @@
 
     /// Returns the task to throttle or evict: the newest one that reserves some of the exceeded
     /// resources. Tasks outside the closing's classes come first, urgent tasks last.
-    fn newest_offender(&self, class: Option<&str>, overuse: &Resources) -> Option<AttemptId> {
+    fn choose_victim(&self, class: Option<&str>, overuse: &Resources) -> Option<AttemptId> {
         let closing = self.limits.as_ref().and_then(|limits| limits.closing.as_ref());
         let in_closing = |task: &Reservation| {
             closing.is_some_and(|closing| closing.classes.contains(&task.demand.class))
--- a/crates/core/tests/cell_history.rs
+++ b/crates/core/tests/cell_history.rs
@@ -30,11 +30,11 @@
     Observation::Committed(Event::Started { attempt: id(number), agent: "vm".to_owned() })
 }
 
-fn begun(number: u64) -> Observation {
+fn execution_started(number: u64) -> Observation {
     Observation::ExecutionStarted { attempt: id(number), checkpoint: None }
 }
 
-fn ended(number: u64) -> Observation {
+fn execution_ended(number: u64) -> Observation {
     Observation::ExecutionEnded { attempt: id(number) }
 }
 
@@ -56,15 +56,15 @@
     Observation::Committed(Event::CancelRequested { job: "job".to_owned() })
 }
 
-fn promised() -> Observation {
+fn job_accepted() -> Observation {
     Observation::JobAccepted("job".to_owned())
 }
 
 /// Returns the state after the committed events of a history.
 fn replay(history: &[Observation]) -> CellState {
     let mut state = CellState::default();
-    for fact in history {
-        if let Observation::Committed(event) = fact {
+    for observation in history {
+        if let Observation::Committed(event) = observation {
             state.apply(event);
         }
     }
@@ -77,34 +77,53 @@
 
 #[test]
 fn accepts_a_good_history() {
-    let mut history = vec![submitted(), promised(), started(1), begun(1), ended(1)];
-    history.extend([evicted(1, None), started(2), begun(2), ended(2), completed(2)]);
+    let mut history =
+        vec![submitted(), job_accepted(), started(1), execution_started(1), execution_ended(1)];
+    history.extend([
+        evicted(1, None),
+        started(2),
+        execution_started(2),
+        execution_ended(2),
+        completed(2),
+    ]);
     history.push(Observation::Acknowledged(id(2)));
     assert_eq!(check_history(&history), Ok(()));
 }
 
 #[test]
 fn rejects_bad_histories_of_each_kind() {
-    let run = |number| [started(number), begun(number), ended(number)];
-    let begin = [submitted(), promised()];
+    let run = |number| [started(number), execution_started(number), execution_ended(number)];
+    let prefix = [submitted(), job_accepted()];
     let cases: Vec<(Violation, Vec<Observation>)> = vec![
         (
             Violation::ConcurrentAttempts,
-            vec![started(1), begun(1), evicted(1, None), started(2), begun(2)],
+            vec![
+                started(1),
+                execution_started(1),
+                evicted(1, None),
+                started(2),
+                execution_started(2),
+            ],
         ),
         (Violation::ConcurrentAttempts, vec![started(1), started(2)]),
-        (Violation::RepeatedExecution, vec![started(1), begun(1), ended(1), begun(1)]),
-        (Violation::ExecutionWithoutStart, vec![begun(1)]),
+        (
+            Violation::RepeatedExecution,
+            vec![started(1), execution_started(1), execution_ended(1), execution_started(1)],
+        ),
+        (Violation::ExecutionWithoutStart, vec![execution_started(1)]),
         (
             Violation::WrongCheckpoint,
-            [&run(1)[..], &[evicted(1, Some("half")), started(2), begun(2)]].concat(),
+            [&run(1)[..], &[evicted(1, Some("half")), started(2), execution_started(2)]].concat(),
         ),
         (
             Violation::WrongCheckpoint,
             [&run(1)[..], &[reported(1, "half"), evicted(1, None)]].concat(),
         ),
         (Violation::StartAfterCancel, vec![cancelled(), started(1)]),
-        (Violation::StartAfterCancel, vec![started(1), cancelled(), evicted(1, None), begun(1)]),
+        (
+            Violation::StartAfterCancel,
+            vec![started(1), cancelled(), evicted(1, None), execution_started(1)],
+        ),
         (Violation::StartAfterCompletion, [&run(1)[..], &[completed(1), started(2)]].concat()),
         (Violation::TokenNotIncreased, vec![started(2), evicted(2, None), started(1)]),
         (
@@ -114,15 +133,15 @@
         (Violation::JobNotFinished, run(1).to_vec()),
     ];
     for (violation, rest) in cases {
-        let history = [&begin[..], &rest].concat();
+        let history = [&prefix[..], &rest].concat();
         assert_eq!(check_history(&history), Err(violation), "history {history:?}");
     }
-    assert_eq!(check_history(&[promised()]), Err(Violation::AcceptedJobMissing));
+    assert_eq!(check_history(&[job_accepted()]), Err(Violation::AcceptedJobMissing));
 }
 
 #[test]
 fn rejects_an_end_that_the_events_do_not_justify() {
-    let run = [submitted(), promised(), started(1), begun(1), ended(1)];
+    let run = [submitted(), job_accepted(), started(1), execution_started(1), execution_ended(1)];
     let history = [&run[..], &[completed(1)]].concat();
     let mut end = replay(&history);
     if let Some(job) = end.jobs.get_mut("job") {
--- a/crates/core/tests/cell_owner/main.rs
+++ b/crates/core/tests/cell_owner/main.rs
@@ -29,9 +29,9 @@
     for number in 0..10_000 {
         fixture.cell.cancel(None, &format!("job-{number}"), 2);
     }
-    let room = Resources::new(1_000, 100, 0);
-    fixture.capacity = fixture.capacity.plus(&room);
-    fixture.submit(JobSpec { need: room, ..spec("late", "urgent", 1, 1) });
+    let added = Resources::new(1_000, 100, 0);
+    fixture.capacity = fixture.capacity.plus(&added);
+    fixture.submit(JobSpec { need: added, ..spec("late", "urgent", 1, 1) });
     fixture.commit();
     // One batch commits the submission, the next one the start; a third round delivers the order.
     let before = fixture.cell.has_uncommitted();
--- a/crates/core/tests/cell_schedules.rs
+++ b/crates/core/tests/cell_schedules.rs
@@ -23,12 +23,12 @@
 fn check(seed: u64) {
     let world::RunOutcome { outcome, valid_jobs, faulty_vms } = world::World::run(seed);
     outcome.check(seed);
-    let ended = |id: &String| outcome.end.jobs.get(id).map(|job| job.phase);
+    let phase_of = |id: &String| outcome.final_state.jobs.get(id).map(|job| job.phase);
     for id in valid_jobs.iter().filter(|_| faulty_vms <= 1) {
-        let end = ended(id);
+        let phase = phase_of(id);
         assert!(
-            matches!(end, Some(Phase::Completed | Phase::Cancelled)),
-            "seed {seed}: job {id}, not built to fail, ended as {end:?}"
+            matches!(phase, Some(Phase::Completed | Phase::Cancelled)),
+            "seed {seed}: job {id}, not built to fail, ended as {phase:?}"
         );
     }
 }
--- a/crates/core/tests/composed/main.rs
+++ b/crates/core/tests/composed/main.rs
@@ -23,11 +23,11 @@
 fn check(seed: u64) -> u64 {
     let outcome = world::World::run(seed);
     outcome.check(seed);
-    for (id, job) in &outcome.end.jobs {
+    for (id, job) in &outcome.final_state.jobs {
         let ended = matches!(job.phase, Phase::Completed | Phase::Cancelled);
         assert!(ended, "seed {seed}: job {id} ended as {:?}: {:?}", job.phase, job.reason);
     }
-    outcome.end.jobs.values().map(|job| job.evictions).sum()
+    outcome.final_state.jobs.values().map(|job| job.evictions).sum()
 }
 
 /// Guards invariants 1, 2 and 3 across owner, agent, ledger and worker. Fails on two live attempts
--- a/crates/core/tests/composed/world.rs
+++ b/crates/core/tests/composed/world.rs
@@ -150,7 +150,7 @@
         while let Some(input) = world.cell.next() {
             world.handle(input);
         }
-        world.cell.end()
+        world.cell.into_result()
     }
 
     fn new(seed: u64) -> Self {
--- a/crates/core/tests/ledger.rs
+++ b/crates/core/tests/ledger.rs
@@ -53,7 +53,7 @@
     /// Evicted attempts whose stop is not confirmed yet.
     stopping: BTreeSet<AttemptId>,
     /// Number of the next attempt.
-    next: u64,
+    next_number: u64,
 }
 
 impl World {
@@ -77,12 +77,12 @@
             limits: limits(None),
             tasks: BTreeMap::new(),
             stopping: BTreeSet::new(),
-            next: 1,
+            next_number: 1,
         }
     }
 
     /// Returns the sum of what the ledger has to reserve.
-    fn total_held(&self) -> Resources {
+    fn expected_reserved(&self) -> Resources {
         let amounts = self.tasks.values().map(|task| task.demand.need.max(&task.demand.measured));
         amounts.fold(Resources::default(), |sum, amount| sum.plus(&amount))
     }
@@ -93,7 +93,7 @@
         needs.fold(Resources::default(), |sum, need| sum.plus(&need))
     }
 
-    fn class_held(&self, class: &str) -> Resources {
+    fn expected_class_reserved(&self, class: &str) -> Resources {
         let tasks = self.tasks.values().filter(|task| task.demand.class == class);
         tasks.fold(Resources::default(), |sum, task| {
             sum.plus(&task.demand.need.max(&task.demand.measured))
@@ -106,11 +106,11 @@
         match percentile {
             75.. => {}
             _ if !schedules::step(|| format!("{:?} kind {percentile}", self.now)) => {}
-            0..40 => self.admit(),
-            40..60 => self.grow(),
-            60..63 => self.change_closing(),
-            63..66 => self.restart(),
-            _ => self.finish_one(),
+            0..40 => self.admit_random(),
+            40..60 => self.change_random_usage(),
+            60..63 => self.change_random_closing(),
+            63..66 => self.restart_agent(),
+            _ => self.complete_random(),
         }
         self.run_round();
     }
@@ -121,10 +121,10 @@
         self.record_usage();
         self.enforce_limits();
         self.confirm_stops();
-        self.check();
+        self.check_invariants();
     }
 
-    fn admit(&mut self) {
+    fn admit_random(&mut self) {
         let need = Resources::new(
             self.rng.u64(1..4_000),
             self.rng.u64(1..20_000),
@@ -137,8 +137,8 @@
             urgent: self.rng.u8(..8) == 0,
             measured: Resources::default(),
         };
-        let new = id(self.next);
-        self.next += 1;
+        let new = id(self.next_number);
+        self.next_number += 1;
         let overcommitted = self.ledger.is_overcommitted();
         let result = self.ledger.admit(new.clone(), demand.clone());
         if overcommitted {
@@ -153,10 +153,13 @@
                 let usage = Resources::new(need.cpu_milli * percent / 100, need.memory_mib, 0);
                 let task = Task { demand: demand.clone(), usage, speed: 100, throttled_at: None };
                 self.tasks.insert(new, task);
-                let sum = self.total_held();
+                let sum = self.expected_reserved();
                 assert!(sum.fits_in(&CAPACITY.minus(&SERVICE)), "over capacity: {sum:?}");
                 assert!(sum.fits_in(&self.batch_limit(demand.urgent)), "over the batch limit");
-                assert!(self.class_held(class).fits_in(&CLASS_LIMIT), "over the class limit");
+                assert!(
+                    self.expected_class_reserved(class).fits_in(&CLASS_LIMIT),
+                    "over the class limit"
+                );
             }
             Err(Refusal::Capacity { need, available }) => assert!(!need.fits_in(&available)),
             Err(Refusal::ClassLimit { need, available }) => assert!(!need.fits_in(&available)),
@@ -183,7 +186,7 @@
         }
     }
 
-    fn grow(&mut self) {
+    fn change_random_usage(&mut self) {
         let index = self.rng.usize(..self.tasks.len().max(1));
         if let Some(task) = self.tasks.values_mut().nth(index) {
             task.usage = Resources::new(
@@ -194,7 +197,7 @@
         }
     }
 
-    fn change_closing(&mut self) {
+    fn change_random_closing(&mut self) {
         let closing = self.rng.bool().then(|| ClosingLimit {
             batch: Resources::new(self.rng.u64(500..6_000), self.rng.u64(500..40_000), 1),
             classes: if self.rng.bool() { vec!["report".into()] } else { Vec::new() },
@@ -205,7 +208,7 @@
     }
 
     /// Restarts the agent, which rebuilds its ledger from the running tasks.
-    fn restart(&mut self) {
+    fn restart_agent(&mut self) {
         self.ledger = Ledger::new(CAPACITY, MEASUREMENT_LAG);
         self.ledger.set_limits(self.limits.clone());
         for (attempt, task) in &mut self.tasks {
@@ -216,14 +219,14 @@
         self.stopping.clear();
     }
 
-    fn finish_one(&mut self) {
+    fn complete_random(&mut self) {
         let index = self.rng.usize(..self.tasks.len().max(1));
         if let Some(done) = self.tasks.keys().nth(index).cloned() {
-            self.remove(&done);
+            self.remove_task(&done);
         }
     }
 
-    fn remove(&mut self, attempt: &AttemptId) {
+    fn remove_task(&mut self, attempt: &AttemptId) {
         self.tasks.remove(attempt);
         self.stopping.remove(attempt);
         self.ledger.release(attempt);
@@ -286,14 +289,14 @@
         let gone: Vec<AttemptId> =
             self.stopping.iter().filter(|_| self.rng.u8(..4) == 0).cloned().collect();
         for attempt in gone {
-            self.remove(&attempt);
+            self.remove_task(&attempt);
         }
     }
 
-    fn check(&self) {
+    fn check_invariants(&self) {
         let reserved = self.ledger.reserved();
         assert!(
-            self.total_held().fits_in(&reserved),
+            self.expected_reserved().fits_in(&reserved),
             "reserves less than the declared needs and measured usage"
         );
         let assigned = self.declared();
--- a/crates/core/tests/support/cell_world.rs
+++ b/crates/core/tests/support/cell_world.rs
@@ -29,11 +29,11 @@
     /// An open report is answered now, even if no orders are waiting.
     AnswerDue { owner: usize, agent: String, incarnation: Incarnation, sequence: u64 },
     /// A batch arrives at the store.
-    Commit { owner: usize, batch: u64, events: Vec<Event>, sent: Time },
+    Commit { owner: usize, batch_number: u64, events: Vec<Event>, sent: Time },
     /// The reply of the store to a batch arrives at the owner.
-    Committed { owner: usize, batch: u64, sent: Time, fenced: bool },
+    Committed { owner: usize, batch_number: u64, sent: Time, fenced: bool },
     /// The owner sends a batch again if the store has not replied.
-    Retry { owner: usize, batch: u64 },
+    Retry { owner: usize, batch_number: u64 },
     /// A new owner takes over the cell.
     TakeOver,
     /// A caller submits the job with this index.
@@ -80,7 +80,7 @@
 pub struct RunResult {
     pub history: Vec<Observation>,
     /// State after all committed events.
-    pub end: CellState,
+    pub final_state: CellState,
     pub ended_at: Time,
 }
 
@@ -91,7 +91,7 @@
     ///
     /// Panics if the history violates a rule.
     pub fn check(&self, seed: u64) {
-        if let Err((violation, detail)) = history::check(&self.history, &self.end) {
+        if let Err((violation, detail)) = history::check(&self.history, &self.final_state) {
             panic!("seed {seed}: {violation:?} at {:?}: {detail}", self.ended_at);
         }
     }
@@ -129,7 +129,7 @@
     /// Indexes of jobs by the ticket of their submission.
     tickets: BTreeMap<u64, usize>,
     /// Indexes of jobs whose submission was confirmed.
-    promised: BTreeSet<usize>,
+    confirmed: BTreeSet<usize>,
     pub history: Vec<Observation>,
 }
 
@@ -145,7 +145,7 @@
             owners: Vec::new(),
             jobs: Vec::new(),
             tickets: BTreeMap::new(),
-            promised: BTreeSet::new(),
+            confirmed: BTreeSet::new(),
             history: Vec::new(),
         }
     }
@@ -169,9 +169,9 @@
     }
 
     /// Returns the history and the final state.
-    pub fn end(self) -> RunResult {
-        let end = self.store.journal.replay();
-        RunResult { history: self.history, end, ended_at: self.now }
+    pub fn into_result(self) -> RunResult {
+        let final_state = self.store.journal.replay();
+        RunResult { history: self.history, final_state, ended_at: self.now }
     }
 
     /// Adds a job and schedules its submission.
@@ -221,7 +221,7 @@
             return false;
         };
         let ended = |job: &JobSpec| cell.state().jobs.get(&job.id).map(|job| job.phase.is_final());
-        self.promised.len() == self.jobs.len()
+        self.confirmed.len() == self.jobs.len()
             && !cell.has_uncommitted()
             && self.jobs.iter().all(|job| ended(job) == Some(true))
     }
@@ -236,15 +236,19 @@
                     self.answer(owner, &agent);
                 }
             }
-            Input::Commit { owner, batch, events, sent } => self.write(owner, batch, events, sent),
-            Input::Committed { owner, batch, sent, fenced } => {
-                if self.owners[owner].handle_commit(batch, sent, fenced) {
+            Input::Commit { owner, batch_number, events, sent } => {
+                self.write(owner, batch_number, events, sent)
+            }
+            Input::Committed { owner, batch_number, sent, fenced } => {
+                if self.owners[owner].handle_commit(batch_number, sent, fenced) {
                     self.release_effects(owner);
                     self.commit_if_idle(owner);
                 }
             }
-            Input::Retry { owner, batch } => {
-                if self.owners[owner].batch == batch && self.owners[owner].is_committing {
+            Input::Retry { owner, batch_number } => {
+                if self.owners[owner].batch_number == batch_number
+                    && self.owners[owner].is_committing
+                {
                     self.commit(owner);
                 }
             }
@@ -295,16 +299,16 @@
     /// Sends the next batch unless one is being committed.
     fn commit_if_idle(&mut self, owner: usize) {
         if !self.owners[owner].is_committing {
-            self.owners[owner].batch += 1;
+            self.owners[owner].batch_number += 1;
             self.commit(owner);
         }
     }
 
     /// Sends the owner's batch to the journal, and schedules a retry.
     fn commit(&mut self, owner: usize) {
-        let (sent, batch) = (self.local_time(owner), self.owners[owner].batch);
+        let (sent, batch_number) = (self.local_time(owner), self.owners[owner].batch_number);
         let Some(events) = self.owners[owner].take_batch() else { return };
-        let commit = Input::Commit { owner, batch, events, sent };
+        let commit = Input::Commit { owner, batch_number, events, sent };
         match self.now < self.store.slow_until {
             true => {
                 let delay = ms(self.rng.u64(500..4_000));
@@ -312,18 +316,18 @@
             }
             false => self.deliver(commit),
         }
-        self.schedule(ms(2_000), Input::Retry { owner, batch });
+        self.schedule(ms(2_000), Input::Retry { owner, batch_number });
     }
 
     /// Processes a batch that has reached the journal.
-    fn write(&mut self, owner: usize, batch: u64, events: Vec<Event>, sent: Time) {
+    fn write(&mut self, owner: usize, batch_number: u64, events: Vec<Event>, sent: Time) {
         if !self.reaches_store(owner) {
             return;
         }
         let epoch = owner as Epoch + 1;
-        let written = self.store.journal.write(epoch, batch, events, &mut self.history);
+        let written = self.store.journal.write(epoch, batch_number, events, &mut self.history);
         let Some(fenced) = written else { return };
-        self.deliver(Input::Committed { owner, batch, sent, fenced });
+        self.deliver(Input::Committed { owner, batch_number, sent, fenced });
     }
 
     /// Carries out the effects whose events are committed.
@@ -334,7 +338,7 @@
                 Effect::Durable(ticket) => {
                     if let Some(job) = self.tickets.remove(&ticket) {
                         self.history.push(Observation::JobAccepted(self.jobs[job].id.clone()));
-                        self.promised.insert(job);
+                        self.confirmed.insert(job);
                     }
                 }
                 Effect::Wake(agent) => self.answer_if_due(owner, &agent),
@@ -351,7 +355,7 @@
 
     /// Submits a job to the current owner, and again every three seconds until it is confirmed.
     fn submit(&mut self, job: usize) {
-        if self.promised.contains(&job) {
+        if self.confirmed.contains(&job) {
             return;
         }
         let owner = self.newest();
--- a/crates/core/tests/support/owners.rs
+++ b/crates/core/tests/support/owners.rs
@@ -57,18 +57,20 @@
     pub fn write(
         &mut self,
         epoch: Epoch,
-        batch: u64,
+        batch_number: u64,
         events: Vec<Event>,
         history: &mut Vec<Observation>,
     ) -> Option<bool> {
         match (epoch == self.epoch, self.last_batch) {
             (false, _) => return Some(true),
-            (true, (last_epoch, last_number)) if last_epoch == epoch && last_number > batch => {
+            (true, (last_epoch, last_number))
+                if last_epoch == epoch && last_number > batch_number =>
+            {
                 return None
             }
-            (true, last_batch) if last_batch == (epoch, batch) => {}
+            (true, last_batch) if last_batch == (epoch, batch_number) => {}
             (true, _) => {
-                self.last_batch = (epoch, batch);
+                self.last_batch = (epoch, batch_number);
                 self.append(events, history);
             }
         }
@@ -89,7 +91,7 @@
     /// Speed of the owner's clock relative to true time.
     pub clock_rate: f64,
     /// Number of the last batch.
-    pub batch: u64,
+    pub batch_number: u64,
     /// Whether a batch was sent to the journal and not confirmed yet.
     pub is_committing: bool,
     /// Incarnation and sequence number of each agent's report that waits for an answer.
@@ -104,7 +106,7 @@
         Owner {
             cell: Some(cell),
             clock_rate,
-            batch: 0,
+            batch_number: 0,
             is_committing: false,
             pending_reports: BTreeMap::new(),
             paused_until: Time::ZERO,
@@ -132,8 +134,8 @@
     }
 
     /// Processes the journal's reply to a batch. Tells whether the batch is now committed.
-    pub fn handle_commit(&mut self, batch: u64, sent: Time, fenced: bool) -> bool {
-        let is_open = self.is_committing && self.batch == batch;
+    pub fn handle_commit(&mut self, batch_number: u64, sent: Time, fenced: bool) -> bool {
+        let is_open = self.is_committing && self.batch_number == batch_number;
         let Some(cell) = self.cell.as_mut().filter(|_| is_open) else { return false };
         if fenced {
             cell.stop();
--- a/crates/core/tests/support/world.rs
+++ b/crates/core/tests/support/world.rs
@@ -116,7 +116,7 @@
             world.handle(input);
         }
         let faulty_vms = world.vms.iter().filter(|vm| vm.faulty).count();
-        RunOutcome { outcome: world.cell.end(), valid_jobs: world.valid_jobs, faulty_vms }
+        RunOutcome { outcome: world.cell.into_result(), valid_jobs: world.valid_jobs, faulty_vms }
     }
 
     fn new(seed: u64) -> Self {
