--- a/crates/core/src/cell/answer.rs
+++ b/crates/core/src/cell/answer.rs
@@ -9,20 +9,20 @@
 use crate::message::report::{AttemptId, Orders, StartOrder, StopOrder};
 use crate::time::{lease_wait, Time};
 
-/// Time after which a stop order is sent again if the agent's reports still list the attempt.
+/// Time after a stop order until it is sent again if the agent's reports still list the attempt.
 const STOP_RESEND_INTERVAL: Duration = Duration::from_secs(1);
-/// Time after which a start order is sent again if a newer report does not list the attempt, which
-/// means that the answer with the order was lost.
+/// Time after a start order until it is sent again if a report newer than the answered one does not
+/// list the attempt, which means that the answer with the order was lost.
 const START_RESEND_INTERVAL: Duration = Duration::from_millis(200);
-/// Most start orders in one answer. With commands of 4 KB, the answer stays far below the frame
-/// limit of 1 MB.
+/// Most start orders in one answer to an agent's report. With commands of 4 KB, the answer stays
+/// far below the frame limit of 1 MB.
 const MAX_STARTS_PER_ANSWER: usize = 64;
-/// Most stop orders in one answer.
+/// Most stop orders in one answer to an agent's report.
 const MAX_STOPS_PER_ANSWER: usize = 512;
 
 impl Cell {
-    /// Tells whether the open report of this agent has to be answered at once, because orders,
-    /// acknowledgements, a challenge or a new epoch are waiting for it.
+    /// Tells whether the agent's report that waits for an answer has to be answered at once,
+    /// because orders, acknowledgements, a challenge or a new epoch are ready for the agent.
     pub fn has_orders(&self, now: Time, agent: &str) -> bool {
         let Some(worker) = self.workers.by_agent(agent) else { return false };
         let is_granting = self.may_grant(now);
@@ -83,7 +83,8 @@
         Some(orders)
     }
 
-    /// Returns the start orders that are due, and records them as sent.
+    /// Returns the start orders to send to an agent now, and records them as sent in the answer to
+    /// report `sequence`.
     fn take_starts(&mut self, now: Time, agent: &str, sequence: u64) -> Vec<StartOrder> {
         let Some(worker) = self.workers.by_agent(agent) else { return Vec::new() };
         let due = worker.attempts.iter().filter(|(_, live)| self.is_start_due(worker, live, now));
@@ -117,7 +118,7 @@
         })
     }
 
-    /// Returns the stop orders that are due, and records them as sent.
+    /// Returns the stop orders to send to an agent now, and records them as sent.
     fn take_stops(&mut self, now: Time, agent: &str) -> Vec<StopOrder> {
         let Some(worker) = self.workers.by_agent(agent) else { return Vec::new() };
         let due = worker.attempts.iter().filter(|(_, live)| self.is_stop_due(live, now));
@@ -139,7 +140,8 @@
         stops.into_iter().map(|attempt| StopOrder { attempt, checkpoint: false }).collect()
     }
 
-    /// Tells whether to send the start order of an attempt in an answer to the newest report.
+    /// Tells whether the start order of an attempt belongs in an answer to the worker's newest
+    /// report.
     fn is_start_due(&self, worker: &Worker, live: &LiveAttempt, now: Time) -> bool {
         let is_send_due = match live.start_sent {
             None => true,
@@ -157,7 +159,8 @@
             && is_send_due
     }
 
-    /// Tells whether to send a stop order for an attempt.
+    /// Tells whether to send a stop order for an attempt now: the event that stops it is committed,
+    /// and no stop order was sent shortly before.
     fn is_stop_due(&self, live: &LiveAttempt, now: Time) -> bool {
         live.stop_event.is_some_and(|after| after <= self.committed)
             && is_resend_due(live.stop_sent, now)
@@ -170,7 +173,8 @@
     }
 }
 
-/// Records the time of a stop order for an attempt or an orphan.
+/// Records the time of a stop order for an attempt or an orphan, which is an attempt that a report
+/// lists but that is not current.
 fn record_stop_sent(worker: &mut Worker, id: &AttemptId, now: Time) {
     if let Some(sent) = worker.orphans.get_mut(id) {
         *sent = Some(now);
@@ -179,7 +183,8 @@
     }
 }
 
-/// Tells whether an order last sent at `sent` has to be sent now; a new order always has.
+/// Tells whether a stop order last sent at `sent` has to be sent now; an order that was never sent
+/// always has.
 fn is_resend_due(sent: Option<Time>, now: Time) -> bool {
     sent.is_none_or(|sent| now >= sent + STOP_RESEND_INTERVAL)
 }
--- a/crates/core/src/cell/attempts.rs
+++ b/crates/core/src/cell/attempts.rs
@@ -10,10 +10,10 @@
 use crate::resources::Resources;
 use crate::time::{lease_wait, Time};
 
-/// Largest stored length of a failure reason.
+/// Largest stored length of the reason for a task's failure; a longer reason is cut.
 const MAX_REASON_CHARS: usize = 256;
 
-/// Result of processing a report.
+/// Result of processing an agent's report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportStatus {
     /// The report has to be answered.
@@ -25,8 +25,8 @@
 }
 
 impl Cell {
-    /// Processes a report. A report with a higher epoch stops this owner, because it shows that the
-    /// cell has a newer one.
+    /// Processes an agent's report. A report with a higher epoch stops this owner, because it shows
+    /// that the cell has a newer one.
     pub fn report(&mut self, now: Time, report: &Report) -> ReportStatus {
         if report.epoch > self.state.epoch {
             self.stop();
@@ -126,8 +126,8 @@
         }
     }
 
-    /// Records the largest usage of each job. Throttled tasks are left out, because they use less
-    /// than at full speed.
+    /// Records the largest resource usage among the tasks of each job, as measured in a report.
+    /// Throttled tasks are left out, because they use less than at full speed.
     fn record_usage(&mut self, report: &Report) {
         let at_full_speed =
             |task: &&RunningTask| task.speed_percent == 100 && !task.measured.is_zero();
@@ -144,7 +144,8 @@
     }
 
     /// Compares the attempts that a report lists with those that should run on the worker. Requeues
-    /// attempts that have ended, and records orphans, which are to be stopped.
+    /// attempts that have ended without a result, and records orphans: listed attempts that are not
+    /// current and have to be stopped.
     fn reconcile_attempts(&mut self, slot: usize, report: &Report) {
         let epoch_accepted = report.epoch == self.state.epoch;
         let listed: BTreeMap<&AttemptId, &Resources> =
@@ -213,7 +214,7 @@
     }
 
     /// Orders the remaining attempts of a job to stop if the job has just left the active phase.
-    /// `old_phase` is the phase before the last event.
+    /// `previous_phase` is the job's phase before the last event.
     pub(super) fn stop_attempts(&mut self, id: &JobId, previous_phase: Phase) {
         let Some(job) = self.state.jobs.get(id) else { return };
         if previous_phase != Phase::Active
@@ -245,7 +246,7 @@
         }
     }
 
-    /// Requeues all attempts of a worker if its leases have expired.
+    /// Requeues all attempts of the worker in this slot if every lease granted to it has expired.
     pub(super) fn requeue_expired(&mut self, slot: usize, now: Time) {
         let Some(worker) = self.workers.get(slot).filter(|worker| now >= worker.lease_expiry)
         else {
@@ -266,7 +267,7 @@
     }
 }
 
-/// Tells whether an attempt that a report does not list has ended or will never start.
+/// Tells whether an attempt that its agent's report does not list has ended or will never start.
 /// `epoch_accepted` tells whether the agent has accepted this owner's epoch.
 fn has_ended(live: &LiveAttempt, report: &Report, epoch_accepted: bool) -> bool {
     // Until the agent accepts this epoch, a delayed order from an earlier owner may start the
--- a/crates/core/src/cell/jobs.rs
+++ b/crates/core/src/cell/jobs.rs
@@ -7,22 +7,23 @@
 use crate::cell::state::{Event, Job, JobSpec, Phase};
 use crate::id::{CellId, JobId, TeamId};
 
-/// Largest command of a job. The command is sent in start orders and stored in the cell's state.
+/// Largest size of a job's command, in bytes. The command is sent in start orders and stored in the
+/// cell's state.
 pub const MAX_COMMAND_BYTES: usize = 4 * 1024;
-/// Largest job id.
+/// Largest length of a job id, in bytes.
 pub const MAX_JOB_ID_BYTES: usize = 128;
-/// Largest checkpoint that is stored. A checkpoint is a reference to data that the worker saved
-/// elsewhere.
+/// Largest checkpoint of a task that is stored, in bytes. A checkpoint is a reference to data that
+/// the worker saved elsewhere.
 pub const MAX_CHECKPOINT_BYTES: usize = 1024;
-/// Estimated size of the cell's state above which new jobs are rejected. The state has to fit one
-/// value of the store (1 MB).
+/// Estimated encoded size of the cell's state, in bytes, above which new jobs are rejected. The
+/// state has to fit one value of the store (1 MB).
 const MAX_STATE_BYTES_FOR_SUBMIT: usize = 800 * 1024;
-/// Estimated size of the cell's state above which new checkpoints are dropped.
+/// Estimated encoded size of the cell's state, in bytes, above which new checkpoints are dropped.
 const MAX_STATE_BYTES_FOR_CHECKPOINT: usize = 900 * 1024;
-/// Most jobs in one listing, so that the listing fits one network frame.
+/// Most jobs that [`Cell::list`] returns, so that the answer to a query fits one network frame.
 const MAX_LISTED_JOBS: usize = 1_000;
 
-/// Reply to a submission.
+/// Reply to the submission of a job.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SubmitReply {
     /// The job was added; the submission is accepted once [`Effect::Durable`] is emitted for the
@@ -39,7 +40,7 @@
     Full,
 }
 
-/// Reply to a cancellation.
+/// Reply to a request to cancel a job.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CancelReply {
     /// The cancellation is accepted once [`Effect::Durable`] is emitted for the ticket.
@@ -57,21 +58,21 @@
     pub team: TeamId,
     pub class: String,
     pub cell: CellId,
-    /// Name of the state, such as `queued` or `running`.
+    /// Name of the job's state, such as `queued` or `running`.
     pub state: &'static str,
     /// Reason for which the job failed or cannot run.
     pub reason: Option<String>,
-    /// Number of all tasks.
+    /// Number of all tasks of the job.
     pub tasks: u32,
     /// Number of tasks that wait for a start.
     pub queued: u32,
-    /// Number of current attempts.
+    /// Number of tasks with a current attempt.
     pub running: u32,
     /// Number of completed tasks.
     pub completed: u32,
-    /// Number of attempts started so far.
+    /// Number of attempts of the job's tasks started so far.
     pub attempts: u64,
-    /// Number of attempts evicted so far.
+    /// Number of attempts of the job's tasks evicted so far.
     pub evictions: u64,
 }
 
@@ -157,7 +158,7 @@
         jobs.into_iter().take(MAX_LISTED_JOBS).map(|job| self.view(cell, job)).collect()
     }
 
-    /// Returns the status of a job.
+    /// Returns the status of a job, with `cell` as the id of its cell.
     fn view(&self, cell: &str, job: &Job) -> JobView {
         JobView {
             id: job.spec.id.clone(),
@@ -195,13 +196,13 @@
         }
     }
 
-    /// Recomputes the estimated size of the cell's state.
+    /// Recomputes the estimated encoded size of the cell's state.
     pub(super) fn update_state_size(&mut self) {
         self.state_size = self.state.jobs.values().map(Job::encoded_size).sum();
     }
 
-    /// Returns the checkpoint if it fits the size limits. Without it the task resumes from its
-    /// previous checkpoint.
+    /// Returns a task's new checkpoint if it fits the size limits, and counts it in the size of the
+    /// state. Otherwise returns `None`, and the task resumes from its previous checkpoint.
     pub(super) fn admit_checkpoint(&mut self, checkpoint: &Option<Bytes>) -> Option<Bytes> {
         let checkpoint = checkpoint.as_ref().filter(|bytes| bytes.len() <= MAX_CHECKPOINT_BYTES)?;
         if self.state_size + checkpoint.len() > MAX_STATE_BYTES_FOR_CHECKPOINT {
@@ -212,7 +213,7 @@
     }
 }
 
-/// Returns the invalid fields of a specification, each with an error message.
+/// Returns the invalid fields of a job specification, each with an error message.
 fn validation_errors(limits: &Limits, spec: &JobSpec) -> Vec<(&'static str, String)> {
     let mut validation_errors = Vec::new();
     if spec.id.is_empty() || spec.id.len() > MAX_JOB_ID_BYTES || spec.id.contains('/') {
--- a/crates/core/src/cell/owner.rs
+++ b/crates/core/src/cell/owner.rs
@@ -17,26 +17,26 @@
 /// Number by which a caller recognises its request when [`Effect::Durable`] confirms the commit.
 pub type Ticket = u64;
 
-/// Largest estimated size of the events in one batch. Keeps each write short, while a burst of
-/// 10,000 cancellations still takes only about four batches.
+/// Largest estimated size of the events in one commit to the journal, in bytes. Keeps each write
+/// short, while a burst of 10,000 cancellations still takes only about four batches.
 const MAX_BATCH_BYTES: usize = 64 * 1024;
-/// Interval between two checks for expired leases; short compared with the safety margin of a
-/// lease.
+/// Interval between two checks for expired leases of attempts; short compared with the safety
+/// margin of a lease.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
-/// Time without a report after which a worker without attempts is removed.
+/// Time without a report after which a worker without attempts is removed from the cell.
 pub(super) const FORGET_WORKER_AFTER: Duration = Duration::from_secs(600);
 
-/// Time limits of a cell.
+/// Durations that govern leases, takeovers and silent workers in a cell.
 #[derive(Debug, Clone, Copy)]
 pub struct CellSettings {
     /// Duration of the lease that each answer to a report grants on the worker's attempts.
     pub lease: Duration,
     /// Time without contact to the store after which an owner grants no more leases and starts.
     pub outage_hold: Duration,
-    /// Time after a takeover during which workers may not have reported yet, so that no job is
-    /// declared unrunnable for lack of a worker.
+    /// Time after a takeover during which no job is declared unrunnable for lack of a suitable
+    /// worker, because workers may not have reported to the new owner yet.
     pub discovery_period: Duration,
-    /// Time without a report after which a worker gets no new work.
+    /// Time without a report after which a worker counts as silent and gets no new tasks.
     pub silent: Duration,
 }
 
@@ -56,7 +56,7 @@
 pub struct Limits {
     /// Quota of each team in the cell.
     pub teams: BTreeMap<TeamId, Resources>,
-    /// For each class, its limit on one VM and whether it is urgent.
+    /// For each class, the limit of its tasks on one VM and whether its jobs are urgent.
     pub classes: BTreeMap<String, (Resources, bool)>,
 }
 
@@ -71,12 +71,13 @@
     }
 }
 
-/// Action of the I/O layer that is allowed only after a commit.
+/// Action that the caller of [`Cell`] carries out, allowed only after the commit of its event.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
     /// Confirms the submission or cancellation with this ticket to its caller.
     Durable(Ticket),
-    /// Answers the open report of this agent, for which orders or acknowledgements are ready.
+    /// Answers the report of this agent that waits for an answer, because orders or
+    /// acknowledgements are ready.
     Wake(AgentId),
 }
 
@@ -87,9 +88,11 @@
     /// Durable state, with the events proposed but not committed yet.
     pub(super) state: CellState,
     pub(super) settings: CellSettings,
-    /// Configured limits. Until they are known, no task is placed and no job is accepted.
+    /// Configured quotas of teams and limits of classes. Until they are known, no task is placed
+    /// and no job is accepted.
     pub(super) limits: Option<Limits>,
-    /// Number of each class seen by this owner; indexes `class_limits`.
+    /// Number assigned to each class that this owner has seen, by class name; indexes
+    /// `class_limits`.
     class_numbers: BTreeMap<String, usize>,
     /// Limit of each class on one VM, by class number; `None` for a class that was removed.
     pub(super) class_limits: Vec<Option<Resources>>,
@@ -102,39 +105,42 @@
     pending: VecDeque<Event>,
     /// Number of events at the front of `pending` that form the batch being committed.
     in_flight: usize,
-    /// Number of events proposed in this ownership; the sequence number of the last one.
+    /// Number of events proposed by this owner, which is the sequence number of the last one.
     pub(super) proposed: u64,
-    /// Number of events committed in this ownership.
+    /// Number of events of this owner that are committed.
     pub(super) committed: u64,
     /// Effects, each with the sequence number of the event whose commit it waits for.
     effects: VecDeque<(u64, Effect)>,
-    /// Cancellations that wait for space in a batch.
+    /// Requested cancellations, with the job and the caller's ticket, whose event is not proposed
+    /// yet because they wait for space in a batch.
     pub(super) pending_cancels: VecDeque<(JobId, Ticket)>,
-    /// Jobs in `pending_cancels`; none of their tasks is started.
+    /// Jobs in `pending_cancels`. None of their waiting tasks is started.
     pub(super) cancelling: BTreeSet<JobId>,
-    /// Ended jobs whose last event is not committed yet, with its sequence number.
+    /// Ended jobs whose last event is not committed yet, with the sequence number of that event.
     pub(super) uncommitted_ends: BTreeMap<JobId, u64>,
-    /// Declared needs of each team's current attempts.
+    /// Sum of the declared needs of each team's current attempts.
     pub(super) team_reserved: BTreeMap<TeamId, Resources>,
     /// Number of running tasks of each urgent job, by rack number.
     pub(super) rack_tasks: BTreeMap<JobId, BTreeMap<usize, u32>>,
-    /// Largest full-speed usage among the tasks of each job that has not ended.
+    /// Largest measured usage among the tasks of each job that has not ended, at full speed.
     pub(super) job_usage: BTreeMap<JobId, Resources>,
-    /// Time of the last failure of each job that has not ended.
+    /// Time of the last failure of a task of each job that has not ended.
     pub(super) last_failure: BTreeMap<JobId, Time>,
-    /// Caches whether a need fits the full capacity of some known worker.
+    /// Caches whether a task's need fits the full capacity of some known worker, by the need's CPU
+    /// (thousandths of a core), memory (MiB) and accelerators.
     pub(super) fit_cache: HashMap<(u64, u64, u64), bool>,
-    /// Estimated size of the durable state in bytes.
+    /// Estimated encoded size of the durable state, in bytes.
     pub(super) state_size: usize,
-    /// Time of the takeover by this owner.
+    /// Time at which this owner took over the cell.
     pub(super) takeover_at: Time,
     /// Start of the last exchange with the store that confirmed this owner.
     store_contact: Time,
-    /// Whether this owner has stopped granting for good.
+    /// Whether this owner has stopped granting leases and starts for good.
     stopped: bool,
     /// Time of the next check for expired leases.
     next_sweep: Time,
-    /// Requeued tasks that may be started now; refilled at a fixed rate.
+    /// Tokens in the token bucket that limits starts of requeued tasks: the number of these tasks
+    /// that may be started now.
     pub(super) requeue_budget: f64,
     /// Time of the last placement pass.
     pub(super) last_pass: Time,
@@ -220,8 +226,8 @@
     }
 
     /// Returns the time after a takeover by which all leases granted by earlier owners have
-    /// expired. Unless the cell was released cleanly, an earlier owner may renew leases for the
-    /// whole outage hold.
+    /// expired. Unless the previous owner released the cell cleanly (see [`Event::Released`]), an
+    /// earlier owner may renew leases for the whole outage hold.
     fn inherited_lease_wait(&self) -> Duration {
         let wait = lease_wait(self.settings.lease);
         match self.state.predecessor_clean {
@@ -250,7 +256,7 @@
         classes.into_iter().any(|(_, urgent)| *urgent)
     }
 
-    /// Returns the number of a class that this owner has seen.
+    /// Returns the number assigned to a class; `None` if this owner has not seen the class.
     pub(super) fn class_number(&self, class: &str) -> Option<usize> {
         self.class_numbers.get(class).copied()
     }
@@ -328,7 +334,7 @@
         self.uncommitted_ends.retain(|_, sequence| *sequence > committed);
     }
 
-    /// Removes and returns the effects whose events are committed.
+    /// Removes and returns the effects whose events are committed, in the order of the events.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         let committed = self.committed;
         let due = self.effects.iter().take_while(|(sequence, _)| *sequence <= committed).count();
@@ -340,14 +346,14 @@
         self.effects.push_back((self.proposed, effect));
     }
 
-    /// Applies an event to the state and queues it for commit.
+    /// Applies an event to the state and appends it to the events that wait for a commit.
     pub(super) fn propose(&mut self, event: Event) {
         self.state.apply(&event);
         self.pending.push_back(event);
         self.proposed += 1;
     }
 
-    /// Updates the queue and the volatile records of a job after an event about it.
+    /// Updates the queue entries and the volatile records of a job after an event about the job.
     pub(super) fn sync_job(&mut self, id: &JobId) {
         if let Some(job) = self.state.jobs.get(id) {
             self.queue.sync(job);
@@ -365,7 +371,7 @@
         !self.stopped && now.saturating_sub(self.store_contact) < self.settings.outage_hold
     }
 
-    /// Tells whether this owner has stopped granting for good.
+    /// Tells whether this owner has stopped granting leases and starts for good.
     pub fn is_stopped(&self) -> bool {
         self.stopped
     }
@@ -375,7 +381,8 @@
         !self.pending.is_empty() || !self.pending_cancels.is_empty()
     }
 
-    /// Tells whether proposed events wait for a commit.
+    /// Tells whether proposed events wait for a commit, not counting cancellations whose event is
+    /// not proposed yet.
     pub fn has_pending_events(&self) -> bool {
         !self.pending.is_empty()
     }
@@ -390,7 +397,7 @@
         &self.state
     }
 
-    /// Returns the number of events committed in this ownership.
+    /// Returns the number of events of this owner that are committed.
     pub fn committed(&self) -> u64 {
         self.committed
     }
@@ -428,7 +435,7 @@
     }
 }
 
-/// Returns the number of a class, and assigns the next one to a new class.
+/// Returns the number of a class, and assigns the next number to a class not seen before.
 fn intern_class(numbers: &mut BTreeMap<String, usize>, class: &str) -> usize {
     if let Some(number) = numbers.get(class) {
         return *number;
--- a/crates/core/src/cell/placement.rs
+++ b/crates/core/src/cell/placement.rs
@@ -12,21 +12,23 @@
 use crate::resources::Resources;
 use crate::time::Time;
 
-/// Refill rate of the token bucket that limits starts of requeued tasks. Together with
-/// [`REQUEUED_START_BURST`] it allows at most 200 starts in any second.
+/// Refill rate of the token bucket that limits starts of requeued tasks, in starts per second.
+/// Together with [`REQUEUED_START_BURST`] it allows at most 200 starts in any second.
 const REQUEUED_STARTS_PER_S: f64 = 180.0;
-/// Size of the token bucket for starts of requeued tasks.
+/// Size of the token bucket that limits starts of requeued tasks, in starts.
 const REQUEUED_START_BURST: f64 = 20.0;
-/// Shortest interval between two placement passes over the queue.
+/// Shortest interval between two placement passes over the queue of waiting tasks.
 const PASS_INTERVAL: Duration = Duration::from_millis(20);
-/// Most starts in one placement pass.
+/// Most tasks that one placement pass starts.
 const MAX_STARTS_PER_PASS: usize = 256;
-/// Workers examined for suitability in one decision. The bound keeps the cost of a decision
-/// constant as cells grow.
+/// Most workers examined for suitability when a task is placed. The bound keeps the cost of placing
+/// a task constant as cells grow.
 const MAX_EXAMINED_WORKERS: usize = 48;
-/// Suitable workers ranked in one decision; bounded for the same reason.
+/// Most suitable workers that are ranked when a task is placed. The bound keeps the cost of placing
+/// a task constant as cells grow.
 const MAX_COMPARED_WORKERS: usize = 12;
-/// Random positions of the index that are examined in addition, to find workers in other racks.
+/// Random positions of the placement index that are examined in addition to the tightest fits, to
+/// find workers in other racks.
 const RANDOM_PROBES: usize = 8;
 /// Step to which interference pressure is rounded before workers are compared, so that its noise
 /// does not override the best fit.
@@ -38,20 +40,22 @@
 /// Initial backoff of a job before it is retried on a worker on which it failed; doubles with each
 /// failure.
 const BASE_RETRY_BACKOFF: Duration = Duration::from_secs(1);
-/// Upper limit of the retry backoff.
+/// Upper limit of the backoff of a job before it is retried on a worker on which it failed.
 const MAX_RETRY_BACKOFF: Duration = Duration::from_secs(60);
 
 /// Placement index: slot numbers of workers that may get tasks, ordered by the CPU available to
 /// urgent tasks, in thousandths of a core.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Index {
+    /// Available CPU and slot number of each worker.
     all: BTreeSet<(u64, usize)>,
-    /// Workers with available accelerators.
+    /// Available CPU and slot number of each worker with available accelerators.
     accelerated: BTreeSet<(u64, usize)>,
 }
 
 impl Index {
-    /// Returns the workers to search for a task with this need.
+    /// Returns the available CPU and slot number of the workers to search for a task with this
+    /// need.
     fn for_need(&self, need: &Resources) -> &BTreeSet<(u64, usize)> {
         match need.accelerators {
             0 => &self.all,
@@ -62,10 +66,11 @@
 
 /// Restriction of the workers on which a job may be placed, by earlier failures.
 struct WorkerFilter<'a> {
+    /// Job whose tasks are placed.
     job: &'a Job,
-    /// Allows only workers on which other jobs succeeded and none of them failed since.
+    /// Allows only workers on which tasks of other jobs completed and none failed since.
     proven_only: bool,
-    /// Also allows workers on which the job itself failed.
+    /// Also allows workers on which a task of this job failed.
     allow_failed: bool,
 }
 
@@ -73,7 +78,7 @@
 enum Blocked {
     /// No allowed worker has enough free resources.
     Capacity,
-    /// A restriction of this job, such as the quota of its team.
+    /// A restriction that concerns only this job, such as the quota of its team.
     Job,
     /// The job can never run, for the given reason.
     Unrunnable(String),
@@ -158,7 +163,8 @@
         starts
     }
 
-    /// Returns the slot number of the worker for the next task of a job.
+    /// Returns the slot number of the worker on which to start the next task of a job, or the
+    /// reason for which the task cannot start now.
     fn choose_worker(&mut self, now: Time, id: &JobId) -> Result<usize, Blocked> {
         let job = self.state.jobs.get(id).ok_or(Blocked::Job)?;
         let need = job.spec.need;
@@ -208,8 +214,8 @@
             && self.workers.iter().any(|(_, worker)| worker.last_report.is_some())
     }
 
-    /// Tells whether the need fits the full capacity of some known worker. Returns `true` while
-    /// workers may still be unknown.
+    /// Tells whether a task's need fits the full capacity of some known worker. Returns `true`
+    /// shortly after a takeover, while workers may not have reported yet.
     fn fits_some_worker(&mut self, now: Time, need: Resources) -> bool {
         if !self.has_discovered_workers(now) {
             return true;
@@ -260,7 +266,7 @@
             && now >= last + backoff.min(MAX_RETRY_BACKOFF)
     }
 
-    /// Tells whether the worker may get new tasks now.
+    /// Tells whether the worker may get new tasks now, whatever its free resources.
     fn is_usable(&self, now: Time, worker: &Worker) -> bool {
         let silence = worker.last_report.map(|last| now.saturating_sub(last));
         !worker.leaving
@@ -323,7 +329,8 @@
         }
     }
 
-    /// Adds suitable workers at random positions of the index to `found`.
+    /// Adds suitable workers at random positions of the index to `candidates`. Only positions with
+    /// at least `from` available CPU, in thousandths of a core, are drawn.
     fn probe(
         &self,
         index: &BTreeSet<(u64, usize)>,
@@ -341,8 +348,8 @@
     }
 
     /// Returns the sort key of a worker for a job; the smallest key is the best. Prefers workers
-    /// with few failed jobs, then racks with few tasks of an urgent job, low pressure, workers on
-    /// which jobs have succeeded, and the tightest CPU fit.
+    /// with few failed jobs, then racks with few tasks of the job if it is urgent, low interference
+    /// pressure, workers on which jobs have succeeded, and the tightest CPU fit.
     fn rank(&self, slot: usize, job: &Job) -> impl Ord {
         let Some(worker) = self.workers.get(slot) else {
             return (usize::MAX, u32::MAX, u32::MAX, true, u64::MAX, slot);
@@ -406,8 +413,8 @@
         self.after_commit(Effect::Wake(agent));
     }
 
-    /// Updates the index entry of a worker after its report, and removes the entry of a worker that
-    /// must not get tasks.
+    /// Updates the placement index entry of the worker in this slot after its report, and removes
+    /// the entry if the worker must not get tasks.
     pub(super) fn reindex(&mut self, slot: usize, now: Time) {
         let usable = self.workers.get(slot).is_some_and(|worker| {
             !worker.leaving && worker.epoch == self.state.epoch && !worker.is_quarantined(now)
@@ -418,7 +425,8 @@
         }
     }
 
-    /// Updates the index entry of a worker after its available resources have changed.
+    /// Updates the placement index entry of the worker in this slot, if it has one, after its
+    /// available resources have changed.
     pub(super) fn reindex_available(&mut self, slot: usize) {
         if self.workers.get(slot).is_some_and(|worker| worker.index_key.is_some()) {
             self.unindex(slot);
@@ -426,7 +434,7 @@
         }
     }
 
-    /// Adds a worker to the index.
+    /// Adds the worker in this slot to the placement index.
     fn insert_index(&mut self, slot: usize) {
         let Some(worker) = self.workers.get_mut(slot) else { return };
         // The CPU available to urgent tasks is never below that available to other tasks.
@@ -438,7 +446,7 @@
         }
     }
 
-    /// Removes a worker from the index.
+    /// Removes the worker in this slot from the placement index, so that it gets no tasks.
     pub(super) fn unindex(&mut self, slot: usize) {
         let Some(worker) = self.workers.get_mut(slot) else { return };
         if let Some(cpu) = worker.index_key.take() {
@@ -448,19 +456,19 @@
     }
 }
 
-/// Tells whether a worker that is not usable now may become usable again soon.
+/// Tells whether a worker may get new tasks again soon, even if it is silent now.
 fn may_return(now: Time, worker: &Worker) -> bool {
     let silence = worker.last_report.map(|last| now.saturating_sub(last));
     silence.is_some_and(|silence| silence <= FORGET_WORKER_AFTER) && !worker.is_quarantined(now)
 }
 
-/// Tells whether the filter allows the worker.
+/// Tells whether the filter allows a job on the worker, given earlier failures.
 fn accepts(worker_filter: &WorkerFilter, worker: &Worker) -> bool {
     (!worker_filter.proven_only || worker.is_proven_for(&worker_filter.job.spec.id))
         && (worker_filter.allow_failed || !worker_filter.job.failed_on.contains(&worker.agent))
 }
 
-/// Returns the next task of a job that waits in a lane.
+/// Returns the next waiting task of a job that belongs to a priority lane of the queue.
 fn next_task(job: &Job, lane: Lane) -> Option<TaskIndex> {
     match lane.is_requeued() {
         true => job.has_requeued().then(|| job.requeued.keys().next().copied()).flatten(),
@@ -468,7 +476,7 @@
     }
 }
 
-/// Returns a need as a key for the cache of fitting needs.
+/// Returns a task's need as a key of the cache that [`Cell::fits_some_worker`] uses.
 fn need_key(need: &Resources) -> (u64, u64, u64) {
     (need.cpu_milli, need.memory_mib, need.accelerators)
 }
--- a/crates/core/src/cell/queue.rs
+++ b/crates/core/src/cell/queue.rs
@@ -10,9 +10,13 @@
 /// other jobs, tasks that were started before come first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Lane {
+    /// Tasks of urgent jobs that were never started.
     UrgentUnstarted,
+    /// Tasks of urgent jobs that were started before.
     UrgentRequeued,
+    /// Tasks of other jobs that were started before.
     Requeued,
+    /// Tasks of other jobs that were never started.
     Unstarted,
 }
 
@@ -26,7 +30,7 @@
         matches!(self, Lane::UrgentRequeued | Lane::Requeued)
     }
 
-    /// Returns the lane for tasks of an urgent or other job, requeued or never started.
+    /// Returns the lane for tasks of a job. `requeued` tells whether the tasks were started before.
     fn new(urgent: bool, requeued: bool) -> Lane {
         match (urgent, requeued) {
             (true, false) => Lane::UrgentUnstarted,
@@ -37,19 +41,20 @@
     }
 }
 
-/// Jobs that a pass examines at the head of a lane. The bound limits the time that jobs which
-/// cannot start now take from a pass.
+/// Most jobs that a placement pass examines at the head of a lane. The bound limits the time that
+/// jobs which cannot start now take from a pass.
 const MAX_HEAD_JOBS: usize = 128;
-/// Jobs that a pass examines after a cursor, which advances from pass to pass. So every job of the
-/// lane is examined eventually.
+/// Most jobs that a placement pass examines after a lane's cursor, which advances from pass to
+/// pass, so that every job of the lane is examined eventually.
 const MAX_CURSOR_JOBS: usize = 384;
 
-/// Waiting jobs by priority lane.
+/// Jobs with waiting tasks, by priority lane.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Queue {
-    /// Jobs of each lane, by order of submission.
+    /// Jobs of each lane, by their position in the order of submission.
     lanes: [BTreeMap<u64, JobId>; 4],
-    /// Order of submission of the last job examined after the head of each lane.
+    /// For each lane, the position in the order of submission of the last job that a pass examined
+    /// after the lane's head; 0 to start again from the head.
     cursors: [u64; 4],
 }
 
@@ -70,11 +75,13 @@
         }
     }
 
+    /// Tells whether no job has waiting tasks.
     pub fn is_empty(&self) -> bool {
         self.lanes.iter().all(BTreeMap::is_empty)
     }
 
-    /// Returns the jobs of a lane to examine in this pass, and advances the lane's cursor.
+    /// Returns the jobs of a lane to examine in this placement pass, and advances the lane's
+    /// cursor.
     pub fn candidates(&mut self, lane: Lane) -> Vec<JobId> {
         let jobs = &self.lanes[lane as usize];
         let mut chosen: Vec<(u64, JobId)> = jobs
--- a/crates/core/src/cell/state.rs
+++ b/crates/core/src/cell/state.rs
@@ -10,14 +10,15 @@
 use crate::message::report::{AttemptId, Token};
 use crate::resources::Resources;
 
-/// Number of different workers on which a job has to fail before it fails permanently.
+/// Number of different workers on which tasks of a job have to fail before the job fails
+/// permanently.
 pub const MAX_FAILED_WORKERS: usize = 3;
 /// Number of failures of one task, on any workers, after which its job fails permanently. This ends
 /// a job in a cell that has fewer than [`MAX_FAILED_WORKERS`] workers, or whose workers are
 /// quarantined so that their failures do not count.
 pub const MAX_TASK_FAILURES: u32 = 10;
-/// Ended jobs that are kept for status queries and repeated submissions. At the planned load a cell
-/// ends about 2,800 jobs a day, so this covers eight hours.
+/// Most ended jobs that are kept for status queries and repeated submissions. At the planned load a
+/// cell ends about 2,800 jobs a day, so this covers eight hours.
 pub const MAX_ENDED_JOBS: usize = 1_000;
 
 /// Specification of a job, as submitted.
@@ -41,7 +42,7 @@
         FIXED_BYTES + self.id.len() + self.team.len() + self.class.len() + self.command.len()
     }
 
-    /// Returns a digest of everything but the id, for comparing two specifications.
+    /// Returns a digest of all fields except the job id, for comparing two specifications.
     pub fn digest(&self) -> u64 {
         let mut encoded = Vec::with_capacity(128 + self.command.len());
         for part in [self.team.as_bytes(), self.class.as_bytes(), &self.command] {
@@ -61,58 +62,40 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Event {
     /// A new owner began `epoch`.
-    TakenOver {
-        epoch: Epoch,
-    },
+    TakenOver { epoch: Epoch },
     /// The owner of `epoch` gave the cell up and grants no more leases. `clean` tells that every
     /// agent with attempts had accepted its epoch, so that no earlier owner can still renew their
     /// leases.
-    Released {
-        epoch: Epoch,
-        clean: bool,
-    },
-    Submitted {
-        spec: JobSpec,
-        urgent: bool,
-    },
-    Started {
-        attempt: AttemptId,
-        agent: AgentId,
-    },
-    Completed {
-        attempt: AttemptId,
-    },
-    Evicted {
-        attempt: AttemptId,
-        checkpoint: Option<Bytes>,
-    },
+    Released { epoch: Epoch, clean: bool },
+    /// A job was added. `urgent` tells whether its class was urgent then.
+    Submitted { spec: JobSpec, urgent: bool },
+    /// An attempt of a task was placed on the worker of `agent`.
+    Started { attempt: AttemptId, agent: AgentId },
+    /// The attempt completed its task.
+    Completed { attempt: AttemptId },
+    /// The agent stopped the attempt to free resources. Its task waits for another attempt, which
+    /// resumes from `checkpoint`, or from the previous checkpoint if there is none.
+    Evicted { attempt: AttemptId, checkpoint: Option<Bytes> },
+    /// The attempt failed, for the reason that its agent reported.
     Failed {
         attempt: AttemptId,
         reason: String,
         /// Whether the failure counts against the job; false for a quarantined worker.
         counted: bool,
     },
-    /// The attempt ended without a result for a reason that is not the job's fault.
-    Requeued {
-        attempt: AttemptId,
-        checkpoint: Option<Bytes>,
-    },
-    CancelRequested {
-        job: JobId,
-    },
+    /// The attempt ended without completing for a reason that is not the job's fault. Its task
+    /// waits for another attempt unless the job is being stopped.
+    Requeued { attempt: AttemptId, checkpoint: Option<Bytes> },
+    /// A caller cancelled the job; its current attempts are stopped.
+    CancelRequested { job: JobId },
     /// A task of the job exceeds every worker, the quota of its team or the limit of its class.
-    Unrunnable {
-        job: JobId,
-        reason: String,
-    },
+    Unrunnable { job: JobId, reason: String },
     /// The worker was found faulty, so its past failures no longer count against jobs.
-    Blamed {
-        agent: AgentId,
-    },
+    Blamed { agent: AgentId },
 }
 
 impl Event {
-    /// Returns an upper estimate of the encoded size in bytes.
+    /// Returns an upper estimate of the encoded size of the event, in bytes.
     pub fn encoded_size(&self) -> usize {
         const FIXED_BYTES: usize = 48;
         // A close estimate, because bursts of cancellations have to share one batch.
@@ -158,15 +141,19 @@
 /// Phase in the lifecycle of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
-    /// Tasks wait or run.
+    /// Tasks of the job wait for a start or run.
     Active,
     /// Attempts are being stopped; the job then becomes `Cancelled`.
     Cancelling,
     /// Attempts are being stopped; the job then becomes `Failed`.
     Failing,
+    /// All tasks have completed.
     Completed,
+    /// The job ended because its tasks failed too often.
     Failed,
+    /// The job ended because a task can never be placed.
     Unrunnable,
+    /// The job ended because a caller cancelled it.
     Cancelled,
 }
 
@@ -184,16 +171,16 @@
     pub token: Token,
     /// Agent that was chosen to run the attempt.
     pub agent: AgentId,
-    /// State from which the attempt resumed the task.
+    /// State of the task with which the attempt began.
     pub resume: Resume,
 }
 
 /// State that a task carries from one attempt to the next.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resume {
-    /// Last committed checkpoint.
+    /// Last committed checkpoint of the task; `None` if the task starts from the beginning.
     pub checkpoint: Option<Bytes>,
-    /// Failures of the task so far.
+    /// Number of failed attempts of the task so far.
     pub failures: u32,
 }
 
@@ -213,16 +200,16 @@
     digest: Option<u64>,
     /// Whether the class of the job was urgent at submission.
     pub urgent: bool,
-    /// Position in the order of submission.
+    /// Position of the job in the cell's order of submission, from 1.
     pub submit_order: u64,
     pub phase: Phase,
     /// Reason for which the job failed or cannot run.
     pub reason: Option<String>,
     /// Index of the first task that was never started.
     pub next_unstarted: TaskIndex,
-    /// Tasks that were started before and wait for another attempt.
+    /// Tasks that were started before and wait for another attempt, with the state to resume from.
     pub requeued: BTreeMap<TaskIndex, Resume>,
-    /// Current attempts, by task.
+    /// Current attempt of each task that has one.
     pub attempts: BTreeMap<TaskIndex, Attempt>,
     /// Number of completed tasks.
     pub completed: u32,
@@ -230,9 +217,9 @@
     pub started: u64,
     /// Number of attempts evicted so far.
     pub evictions: u64,
-    /// Workers on which the job failed, without those found faulty since.
+    /// Agents of the workers on which a task of the job failed, without workers found faulty since.
     pub failed_on: BTreeSet<AgentId>,
-    /// Whether the job has failed since its last completed task.
+    /// Whether a task of the job has failed since one last completed.
     pub failed_recently: bool,
 }
 
@@ -256,12 +243,12 @@
         }
     }
 
-    /// Tells whether the job was submitted with the same specification.
+    /// Tells whether the job was submitted with this specification, job id aside.
     pub fn matches_spec(&self, spec: &JobSpec) -> bool {
         self.digest.unwrap_or_else(|| self.spec.digest()) == spec.digest()
     }
 
-    /// Returns an upper estimate of the encoded size in bytes.
+    /// Returns an upper estimate of the encoded size of the job, in bytes.
     pub fn encoded_size(&self) -> usize {
         const ATTEMPT_BYTES: usize = 16;
         let agents = self.attempts.values().map(|attempt| attempt.agent.len());
@@ -275,7 +262,7 @@
             + agents.chain(checkpoints).chain(failed_on).sum::<usize>()
     }
 
-    /// Returns the number of tasks that wait for a start.
+    /// Returns the number of tasks of the job that wait for a start, started before or not.
     pub fn waiting(&self) -> u32 {
         match self.phase {
             Phase::Active => self.spec.tasks - self.next_unstarted + self.requeued.len() as u32,
@@ -298,7 +285,8 @@
         self.attempts.get(&id.task).filter(|attempt| attempt.token == id.token)
     }
 
-    /// Moves the job to `phase` and drops its requeued tasks. An earlier reason is kept.
+    /// Moves the job to `phase` and drops its requeued tasks. Sets the reason for which the job
+    /// failed or cannot run, unless it has one already.
     fn stop(&mut self, phase: Phase, reason: Option<String>) {
         self.phase = phase;
         self.reason = self.reason.take().or(reason);
@@ -325,24 +313,25 @@
 /// Durable state of a cell, built by applying its events in order.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CellState {
-    /// Current ownership period; 0 before the first owner.
+    /// Number of the current ownership period; 0 before the first owner.
     pub epoch: Epoch,
     /// Whether the owner of `epoch` released the cell cleanly, as defined at [`Event::Released`].
     pub clean: bool,
     /// Whether the owner before the one of `epoch` had released the cell cleanly.
     pub predecessor_clean: bool,
-    /// Number in the last fencing token issued.
+    /// Number in the last fencing token issued to an attempt.
     pub last_token: u64,
     /// Number of jobs submitted so far.
     pub submitted: u64,
+    /// Jobs that have not ended, and the most recent ended jobs.
     #[serde(with = "by_id")]
     pub jobs: BTreeMap<JobId, Job>,
-    /// Ended jobs, oldest first.
+    /// Ended jobs that are kept, in the order in which they ended.
     pub ended: VecDeque<JobId>,
 }
 
 impl CellState {
-    /// Applies a committed event.
+    /// Applies an event to the state.
     pub fn apply(&mut self, event: &Event) {
         match event {
             Event::TakenOver { epoch } => {
@@ -384,7 +373,7 @@
         }
     }
 
-    /// Returns the next fencing token of the current epoch.
+    /// Returns the fencing token for the next attempt in the current epoch.
     pub fn next_token(&self) -> Token {
         Token { epoch: self.epoch, number: self.last_token + 1 }
     }
@@ -460,7 +449,8 @@
         }
     }
 
-    /// Ends the job if nothing of it waits or runs, and retires it.
+    /// Ends the job if none of its tasks waits or runs, and then drops what an ended job no longer
+    /// needs.
     fn end_if_done(&mut self, id: &JobId) {
         if self.jobs.get_mut(id).is_some_and(Job::end_if_done) {
             self.retire(id);
@@ -491,7 +481,8 @@
     }
 }
 
-/// Requeues a failed task, and stops its job once it has failed too often.
+/// Requeues a failed task, and stops its job once it has failed on [`MAX_FAILED_WORKERS`] workers
+/// or the task has failed [`MAX_TASK_FAILURES`] times.
 fn fail(job: &mut Job, task: TaskIndex, ended: Attempt, reason: &str, counted: bool) {
     if job.phase != Phase::Active {
         return;
--- a/crates/core/src/cell/worker.rs
+++ b/crates/core/src/cell/worker.rs
@@ -38,12 +38,14 @@
 #[derive(Debug, Clone)]
 pub(super) struct LiveAttempt {
     pub token: Token,
+    /// Declared need of the task.
     pub need: Resources,
-    /// Usage in the last report; zero if unknown.
+    /// Resource usage of the attempt in its agent's last report; zero if unknown.
     pub measured: Resources,
-    /// Largest full-speed usage of the job's tasks known at the last report.
+    /// Largest measured usage among the tasks of the same job, at full speed, known at the agent's
+    /// last report.
     pub expected_usage: Resources,
-    /// Class number of the job.
+    /// Number that this owner has assigned to the class of the job.
     pub class: usize,
     pub stage: Stage,
     /// Incarnation of the agent to which the start order may be sent; `None` if an earlier owner
@@ -56,10 +58,10 @@
     /// Sequence number of the event whose commit allows a stop order; `None` if the attempt is not
     /// to be stopped.
     pub stop_event: Option<u64>,
-    /// Time of the last stop order.
+    /// Time of the last stop order for the attempt; `None` if none was sent.
     pub stop_sent: Option<Time>,
-    /// Whether the last report listed the attempt, so that the reported free capacity already
-    /// excludes its reservation.
+    /// Whether the agent's last report listed the attempt, so that the free capacity in that report
+    /// already excludes the attempt's reservation.
     pub reported: bool,
 }
 
@@ -70,15 +72,15 @@
     }
 }
 
-/// Unverified incarnation that may succeed the current one. Incarnations are random numbers, so a
-/// report from an unknown one may also be a delayed report from a predecessor. Only a live process
-/// can echo the challenge.
+/// Unverified incarnation of an agent that may succeed the current one. Incarnations are random
+/// numbers, so a report from an unknown one may also be a delayed report from a predecessor. Only a
+/// live process can echo the challenge.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Candidate {
     pub incarnation: Incarnation,
     /// Random number that the agent has to echo in its next report.
     pub challenge: u64,
-    /// Whether an answer has carried the challenge since the last report.
+    /// Whether an answer has carried the challenge since the last report of the candidate.
     pub sent: bool,
 }
 
@@ -94,14 +96,16 @@
     pub sequence: Option<u64>,
     /// Epoch that the agent had accepted at its last report.
     pub epoch: Epoch,
-    /// Whether the agent finishes its tasks and takes no new ones.
+    /// Whether the agent is shutting down: it finishes its tasks and takes no new ones.
     pub leaving: bool,
+    /// Name of the rack that the agent reported.
     pub rack: String,
-    /// Number of the rack within the cell.
+    /// Number that this owner has assigned to the rack.
     pub rack_number: usize,
     /// Reported capacity for batch work.
     pub capacity: Resources,
-    /// Largest capacity reported so far; a closing lowers the current one temporarily.
+    /// Largest capacity for batch work reported so far. During a closing, a configured period with
+    /// less batch work, `capacity` is lower.
     pub max_capacity: Resources,
     /// Reported free capacity for tasks that are not urgent.
     pub free: Resources,
@@ -109,46 +113,52 @@
     pub urgent_free: Resources,
     /// Reported free capacity minus the needs of placed attempts that the report does not list.
     pub available: Resources,
-    /// Like `available`, for urgent tasks.
+    /// Reported free capacity for urgent tasks minus the needs of placed attempts that the report
+    /// does not list.
     pub urgent_available: Resources,
     /// Reservations of the attempts of each class, by class number.
     pub class_reserved: Vec<Resources>,
-    /// Like `class_reserved`, with the expected growth of usage.
+    /// Reservations of the attempts of each class plus their expected growth, by class number.
     pub class_expected: Vec<Resources>,
-    /// Expected growth of all attempts beyond their reservations.
+    /// Sum over all attempts of the amount by which the expected usage exceeds the reservation.
     pub expected_growth: Resources,
     /// Reported interference: slow-down of the VM's services by batch work, in percent.
     pub pressure: u32,
     /// Time of the last accepted report to this owner.
     pub last_report: Option<Time>,
-    /// Time by which every lease that any owner may have granted has expired.
+    /// Time by which every lease that any owner may have granted to the worker has expired.
     pub lease_expiry: Time,
     /// Whether the agent has not accepted this owner's epoch yet, so that an earlier owner may
     /// still renew its leases.
     pub unfenced: bool,
-    /// Jobs that failed on the worker since its last success.
+    /// Jobs with a task that failed on the worker since a task last completed there.
     pub failed_jobs: BTreeSet<JobId>,
-    /// Last two different jobs that succeeded on the worker, newest first.
+    /// Last two different jobs with a task that completed on the worker, newest first.
     pub succeeded_jobs: Vec<JobId>,
+    /// Time until which the worker gets no tasks because it was found faulty.
     pub quarantined_until: Time,
-    /// Number of quarantines since the last success.
+    /// Number of quarantines since a task last completed on the worker.
     pub quarantines: u32,
     /// Time until which no task is placed on the worker, set after a refusal.
     pub backoff_until: Time,
     /// Attempts that may be running on the worker.
     pub attempts: BTreeMap<(JobId, TaskIndex), LiveAttempt>,
-    /// Attempts with a result in the last report that is not acknowledged yet.
+    /// Attempts whose result was in the last report and is not acknowledged to the agent yet.
     pub results: Vec<AttemptId>,
-    /// Ended attempts whose event is not committed yet, with its sequence number.
+    /// Ended attempts whose last event is not committed yet, with the sequence number of that
+    /// event.
     pub uncommitted_ends: BTreeMap<AttemptId, u64>,
-    /// Reported attempts that are not current, with the time of the last stop order.
+    /// Attempts that the last report lists but that are not current, with the time of the last stop
+    /// order for each; `None` if none was sent.
     pub orphans: BTreeMap<AttemptId, Option<Time>>,
-    /// CPU under which the worker is listed in the placement index; `None` if not listed.
+    /// Available CPU under which the worker stands in the placement index, in thousandths of a
+    /// core; `None` if the worker is not in the index.
     pub index_key: Option<u64>,
 }
 
 impl Worker {
-    /// Creates the record of a worker that has not reported yet.
+    /// Creates the record of a worker that has not reported yet. `lease_expiry` is the time by
+    /// which every lease granted to it so far has expired.
     pub fn new(agent: AgentId, lease_expiry: Time) -> Self {
         Worker {
             agent,
@@ -222,13 +232,14 @@
         now < self.quarantined_until
     }
 
-    /// Tells whether jobs other than `job` succeeded on the worker and none of them failed since.
+    /// Tells whether tasks of jobs other than `job` completed on the worker and none failed since.
     pub fn is_proven_for(&self, job: &JobId) -> bool {
         self.failed_jobs.iter().all(|failed| failed == job)
             && self.succeeded_jobs.iter().any(|other| other != job)
     }
 
-    /// Clears the failure history and remembers the job as succeeded.
+    /// Clears the failure history of the worker and remembers that a task of the job completed
+    /// there.
     pub fn record_success(&mut self, job: &JobId) {
         self.failed_jobs.clear();
         self.quarantines = 0;
@@ -238,7 +249,8 @@
         }
     }
 
-    /// Recomputes the available resources and the class totals from the report and the attempts.
+    /// Recomputes the available resources and the totals of each class from the worker's last
+    /// report and its attempts.
     pub fn update_available(&mut self) {
         let unreported = self.attempts.values().filter(|live| !live.reported);
         let ordered = unreported.fold(Resources::default(), |sum, live| sum.plus(&live.need));
@@ -262,9 +274,9 @@
         }
     }
 
-    /// Returns the resources that a new task may take. With `keep_share`, tasks that are not urgent
-    /// leave the share for urgent work free, except on an idle worker, because a task may need the
-    /// whole worker.
+    /// Returns the resources that a new task may take on the worker. With `keep_share`, tasks that
+    /// are not urgent leave the share for urgent work free, except on an idle worker, because a
+    /// task may need the whole worker.
     pub fn available_for(&self, urgent: bool, keep_share: bool) -> Resources {
         match () {
             () if urgent => return self.urgent_available,
@@ -294,7 +306,8 @@
             && self.class_reserved.iter().zip(limits).all(|(used, limit)| is_within(used, limit))
     }
 
-    /// Tells whether the record can be dropped: no attempt is left and all ends are committed.
+    /// Tells whether the record of the worker can be dropped: no attempt is left, and the last
+    /// events of all ended attempts are among the first `committed_events` events of this owner.
     pub fn is_removable(&self, committed_events: u64) -> bool {
         self.attempts.is_empty()
             && self.uncommitted_ends.values().all(|sequence| *sequence <= committed_events)
@@ -325,23 +338,24 @@
         }
     }
 
-    /// Sets whether the worker is leaving.
+    /// Records the state that the agent reported, from which follows whether the worker is leaving.
     pub fn set_state(&mut self, state: AgentState) {
         self.leaving = state == AgentState::Leaving;
     }
 }
 
-/// Status of a worker, as shown to operators.
+/// Status of a worker of a cell, as shown to operators.
 #[derive(Debug, Clone, Serialize)]
 pub struct WorkerView {
     pub agent: AgentId,
     pub rack: String,
-    /// Name of the state, such as `ready` or `silent`.
+    /// Name of the worker's state, such as `ready` or `silent`.
     pub state: &'static str,
+    /// Reported capacity for batch work.
     pub capacity: Resources,
     /// Reported free capacity for tasks that are not urgent.
     pub free: Resources,
-    /// Number of attempts that may be running.
+    /// Number of attempts that may be running on the worker.
     pub attempts: usize,
     /// Slow-down of the VM's services by batch work, in percent.
     pub pressure_percent: u32,
@@ -351,16 +365,18 @@
 /// is then reused.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Workers {
+    /// Worker in each slot; `None` if the slot is free.
     slots: Vec<Option<Worker>>,
     /// Slot numbers free for reuse.
     vacant: Vec<usize>,
+    /// Slot number of each worker, by the id of its agent.
     slots_by_agent: BTreeMap<AgentId, usize>,
-    /// Number of each rack, by rack name.
+    /// Number assigned to each rack that a worker has reported, by rack name.
     rack_numbers: BTreeMap<String, usize>,
 }
 
 impl Workers {
-    /// Returns the slot number of an agent.
+    /// Returns the slot number of the worker on which this agent runs.
     pub fn find(&self, agent: &str) -> Option<usize> {
         self.slots_by_agent.get(agent).copied()
     }
@@ -386,7 +402,8 @@
         self.find(agent).and_then(|slot| self.get_mut(slot))
     }
 
-    /// Returns the slot number of `agent`, and adds a worker if the agent is unknown.
+    /// Returns the slot number of the worker of `agent`. Adds the worker if the agent is unknown;
+    /// `lease_expiry` is then the time by which all leases granted to it so far have expired.
     pub fn insert(&mut self, agent: &AgentId, lease_expiry: Time) -> usize {
         if let Some(slot) = self.find(agent) {
             return slot;
@@ -400,7 +417,7 @@
         slot
     }
 
-    /// Sets the rack of a worker, and numbers a new rack.
+    /// Sets the rack of the worker in this slot, and assigns a number to a rack not seen before.
     pub fn set_rack(&mut self, slot: usize, rack: &str) {
         let number = match self.rack_numbers.get(rack) {
             Some(number) => *number,
--- a/crates/core/src/ledger.rs
+++ b/crates/core/src/ledger.rs
@@ -24,7 +24,7 @@
 pub struct Limits {
     /// Resources set aside for the VM's service.
     pub service: Resources,
-    /// Upper limit of the reservations of each job class, by class name.
+    /// Upper limit of the sum of the reservations of each job class on the VM, by class name.
     pub classes: BTreeMap<String, Resources>,
     /// Limit of the closing in progress or in preparation, if any.
     pub closing: Option<ClosingLimit>,
@@ -33,12 +33,12 @@
 /// Limit on batch work during a closing or its preparation.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClosingLimit {
-    /// Upper limit of the reservations of all batch tasks.
+    /// Upper limit of the sum of the reservations of all batch tasks on the VM.
     pub batch: Resources,
-    /// Classes whose tasks may start; all classes if empty.
+    /// Job classes whose tasks may start during the closing; all classes if empty.
     pub classes: Vec<String>,
-    /// Whether running tasks above the limit are throttled and evicted. Until then only new tasks
-    /// are refused.
+    /// Whether running tasks above `batch` are throttled and evicted. While the closing is only
+    /// prepared, this is false and only new tasks are refused.
     pub enforced: bool,
 }
 
@@ -51,11 +51,12 @@
     UnknownClass,
     /// Reservations of running tasks exceed a limit; nothing starts until they are back below it.
     Overcommitted,
-    /// A closing allows only other classes to start.
+    /// The task's class may not start tasks in the closing in progress or in preparation. A closing
+    /// is a configured period with a lower limit for batch work.
     NotInClosing,
-    /// The task does not fit the limit of its class.
+    /// The task needs more than its class has left under its limit on the VM.
     ClassLimit { need: Resources, available: Resources },
-    /// The task does not fit the free capacity for batch work.
+    /// The task needs more than the free capacity for batch work.
     Capacity { need: Resources, available: Resources },
 }
 
@@ -93,7 +94,9 @@
 /// Action on a running task that the caller of [`Ledger::enforce_limits`] has to carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LimitAction {
+    /// Lets the task run at reduced speed.
     Throttle(AttemptId),
+    /// Stops the attempt; its task is started again elsewhere or later.
     Evict(AttemptId),
     /// Lets a throttled task run at full speed again.
     Restore(AttemptId),
@@ -102,7 +105,9 @@
 /// Resources that a task needs, with the properties that decide its admission.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TaskDemand {
+    /// Name of the job class.
     pub class: String,
+    /// Declared need of the task.
     pub need: Resources,
     /// Whether the task belongs to an urgent class.
     pub urgent: bool,
@@ -113,21 +118,24 @@
 /// Reservation of one attempt, with its throttling state.
 #[derive(Debug, Clone)]
 struct Reservation {
+    /// Declared need, last measured usage and class of the task.
     demand: TaskDemand,
     /// Position in the order of admission; higher numbers are newer.
     admission_order: u64,
-    /// Last usage measured at full speed.
+    /// Estimate of the task's usage at full speed: the last usage measured there, or a larger one
+    /// measured while the task is throttled.
     full_usage: Resources,
-    /// Whether a stop was ordered; the reservation stays until the stop is confirmed.
+    /// Whether the attempt was ordered to stop; the reservation stays until the stop is confirmed.
     stopping: bool,
-    /// Time since which the task is throttled.
+    /// Time at which the task was throttled; `None` if it runs at full speed.
     throttled_at: Option<Time>,
-    /// Time of the last return to full speed.
+    /// Time at which the task last returned to full speed.
     restored_at: Option<Time>,
 }
 
 impl Reservation {
-    /// Returns the larger of the declared need and the measured usage.
+    /// Returns the reserved resources: for each resource, the larger of the declared need and the
+    /// measured usage.
     fn reserved_amount(&self) -> Resources {
         self.demand.need.max(&self.demand.measured)
     }
@@ -136,17 +144,21 @@
 /// Reservations and limits of one VM.
 #[derive(Debug, Clone)]
 pub struct Ledger {
+    /// Size of the VM.
     capacity: Resources,
+    /// Limits in effect; `None` until they are first set.
     limits: Option<Limits>,
-    /// Time until a throttle or restore shows in the measurements: twice their lag.
+    /// Time after a throttle or a return to full speed until the usage measurements show its
+    /// effect: twice their lag.
     settle_time: Time,
+    /// Reservation of each attempt.
     tasks: BTreeMap<AttemptId, Reservation>,
     /// Position of the next task in the order of admission.
     next_order: u64,
 }
 
 impl Ledger {
-    /// Builds an empty ledger. `lag` is the delay of usage measurements.
+    /// Builds an empty ledger of a VM with this capacity. `lag` is the delay of usage measurements.
     pub fn new(capacity: Resources, lag: Time) -> Self {
         Ledger {
             capacity,
@@ -157,7 +169,7 @@
         }
     }
 
-    /// Sets the size of the VM.
+    /// Sets the resources that the VM has in total.
     pub fn set_capacity(&mut self, capacity: Resources) {
         self.capacity = capacity;
     }
@@ -175,7 +187,7 @@
         limits.closing.as_ref().map_or(available, |closing| available.min(&closing.batch))
     }
 
-    /// Returns the sum of all reservations.
+    /// Returns the sum of the reservations of all attempts.
     pub fn reserved(&self) -> Resources {
         sum(self.tasks.values())
     }
@@ -248,7 +260,7 @@
         Ok(())
     }
 
-    /// Adds a reservation for a task that already runs, whether it fits or not.
+    /// Adds a reservation for an attempt that already runs, whether it fits the limits or not.
     pub fn adopt(&mut self, attempt: AttemptId, task: TaskDemand) {
         let admission_order = self.next_order;
         self.next_order += 1;
@@ -324,7 +336,7 @@
         actions
     }
 
-    /// Restores the oldest throttled task whose full-speed usage fits the limits.
+    /// Returns the oldest throttled task whose full-speed usage fits the limits to full speed.
     fn restore_throttled(&mut self, now: Time) -> Option<LimitAction> {
         let settle_time = self.settle_time;
         let is_restorable = |attempt: &AttemptId, task: &Reservation| {
@@ -373,7 +385,7 @@
     }
 
     /// Returns the amount by which the reservations of the tasks selected by `counted` exceed a
-    /// limit, with the class if the limit is that of a class.
+    /// limit, with the class if the limit is that of a class; `None` if no limit is exceeded.
     fn excess(
         &self,
         counted: impl Fn(&Reservation) -> bool,
@@ -407,7 +419,7 @@
     }
 }
 
-/// Returns the sum of the reserved amounts.
+/// Returns the sum of the resources that these reservations hold.
 fn sum<'a>(tasks: impl Iterator<Item = &'a Reservation>) -> Resources {
     tasks.fold(Resources::default(), |sum, task| sum.plus(&task.reserved_amount()))
 }
--- a/crates/core/tests/cell_history.rs
+++ b/crates/core/tests/cell_history.rs
@@ -10,6 +10,7 @@
 use peridotfold_core::message::report::{AttemptId, Token};
 use peridotfold_core::resources::Resources;
 
+/// Returns the id of the attempt with this fencing token number.
 fn id(number: u64) -> AttemptId {
     AttemptId { job: "job".to_owned(), task: 0, token: Token { epoch: 1, number } }
 }
@@ -71,6 +72,7 @@
     state
 }
 
+/// Checks a history against the final state that follows from it. Returns the violation found.
 fn check_history(history: &[Observation]) -> Result<(), Violation> {
     check(history, &replay(history)).map_err(|(violation, _)| violation)
 }
--- a/crates/core/tests/cell_owner/fixture.rs
+++ b/crates/core/tests/cell_owner/fixture.rs
@@ -14,14 +14,18 @@
 use peridotfold_core::resources::Resources;
 use peridotfold_core::time::Time;
 
+/// Duration of the leases that the owner grants on attempts.
 pub const LEASE: Duration = Duration::from_secs(20);
+/// Time without contact to the store after which the owner grants no more leases.
 pub const OUTAGE_HOLD: Duration = Duration::from_secs(600);
 
+/// Returns a duration of this many milliseconds.
 pub fn ms(number: u64) -> Duration {
     Duration::from_millis(number)
 }
 
-/// Returns a job whose tasks need `cpu` thousandths of a core and 100 MiB.
+/// Returns the specification of a job whose tasks each need `cpu` thousandths of a core and 100
+/// MiB.
 pub fn spec(id: &str, class: &str, tasks: u32, cpu: u64) -> JobSpec {
     JobSpec {
         id: id.to_owned(),
@@ -33,7 +37,8 @@
     }
 }
 
-/// Returns the limits of a normal and an urgent class, and a CPU quota of one team.
+/// Returns the limits of a normal and an urgent class, and the quota of one team with `quota`
+/// thousandths of a core.
 pub fn limits(quota: u64) -> Limits {
     let limit = Resources::new(16_000, 64_000, 4);
     Limits {
@@ -47,14 +52,15 @@
 pub struct Fixture {
     pub cell: Cell,
     pub now: Time,
-    /// Sequence number of the last report.
+    /// Sequence number of the last report of any agent.
     pub sequence: u64,
+    /// All events committed so far, oldest first.
     pub committed_events: Vec<Event>,
     /// Id, running tasks and unacknowledged results of each agent.
     pub agents: Vec<(String, Vec<StartOrder>, Vec<TaskResult>)>,
-    /// Capacity of each worker.
+    /// Batch capacity that each worker reports.
     pub capacity: Resources,
-    /// Usage reported for each task.
+    /// Measured usage that the agents report for each running task.
     pub measured: Resources,
 }
 
@@ -133,10 +139,10 @@
             pressure_percent: 0,
         };
         self.cell.report(self.now, &report);
-        self.cell.answer(self.now, id, 1, self.sequence).expect("the owner")
+        self.cell.answer(self.now, id, 1, self.sequence).expect("the owner has stopped")
     }
 
-    /// Carries out the orders of an answer; returns the number of starts.
+    /// Carries out the orders of an answer on an agent. Returns the number of tasks started.
     pub fn apply_orders(&mut self, agent: usize, orders: Orders) -> usize {
         let (_, running, results) = &mut self.agents[agent];
         results.retain(|result| !orders.acknowledged.contains(&result.attempt));
@@ -165,7 +171,7 @@
         starts
     }
 
-    /// Ends all tasks of an agent with the same outcome.
+    /// Ends all running tasks of an agent with the same outcome, which its next report contains.
     pub fn end_all(&mut self, agent: usize, outcome: &Outcome) {
         let (_, running, results) = &mut self.agents[agent];
         let ended = running.drain(..).map(|start| start.attempt);
@@ -182,6 +188,7 @@
         self.cell.state().jobs[job].attempts.len()
     }
 
+    /// Returns the lifecycle phase of a job; `None` if the cell does not know the job.
     pub fn phase(&self, job: &str) -> Option<Phase> {
         self.cell.state().jobs.get(job).map(|job| job.phase)
     }
--- a/crates/core/tests/cell_owner/main.rs
+++ b/crates/core/tests/cell_owner/main.rs
@@ -119,7 +119,8 @@
     for report in [&first, &second] {
         fixture.cell.report(fixture.now, report);
     }
-    let challenged = fixture.cell.answer(fixture.now, "vm-0", 99, 2).expect("the owner");
+    let challenged =
+        fixture.cell.answer(fixture.now, "vm-0", 99, 2).expect("the owner has stopped");
     assert_eq!((challenged.lease, challenged.starts.len()), (Duration::ZERO, 0));
     assert_ne!(challenged.challenge, 0);
     assert_eq!(fixture.running("job"), 1, "the attempt was requeued");
@@ -129,7 +130,10 @@
     let returned = Report { sequence: 3, echo: challenged.challenge, ..second };
     fixture.cell.report(fixture.now, &returned);
     assert_eq!(fixture.running("job"), 0);
-    assert_eq!(fixture.cell.answer(fixture.now, "vm-0", 99, 3).expect("the owner").lease, LEASE);
+    assert_eq!(
+        fixture.cell.answer(fixture.now, "vm-0", 99, 3).expect("the owner has stopped").lease,
+        LEASE
+    );
 }
 
 /// Guards against two attempts of a task: a replaced owner sends a start order that it committed
@@ -160,7 +164,8 @@
     for sequence in 1..4 {
         report.sequence = sequence;
         fixture.cell.report(fixture.now, &report);
-        let orders = fixture.cell.answer(fixture.now, "vm-0", 99, sequence).expect("the owner");
+        let orders =
+            fixture.cell.answer(fixture.now, "vm-0", 99, sequence).expect("the owner has stopped");
         assert!(orders.starts.is_empty(), "start ordered from another incarnation");
         report.echo = report.echo.max(orders.challenge);
     }
@@ -302,7 +307,8 @@
     fixture.round(ms(100));
     let mut racks = [0; 4];
     for attempt in fixture.cell.state().jobs["job"].attempts.values() {
-        let agent: usize = attempt.agent.trim_start_matches("vm-").parse().expect("number");
+        let agent: usize =
+            attempt.agent.trim_start_matches("vm-").parse().expect("agent id without a number");
         racks[agent / 3] += 1;
     }
     assert_eq!(racks, [2; 4]);
--- a/crates/core/tests/cell_schedules.rs
+++ b/crates/core/tests/cell_schedules.rs
@@ -15,11 +15,11 @@
 
 use peridotfold_core::cell::state::Phase;
 
-/// Number of random schedules.
+/// Number of random schedules, each with its own seed.
 const SCHEDULES: u64 = 10_000;
 
-/// Runs one schedule. Beside the history rules, jobs that are not built to fail must complete or be
-/// cancelled, unless several workers are faulty.
+/// Runs the schedule of a seed. Beside the lifecycle rules that the history checker knows, jobs
+/// that are not built to fail must complete or be cancelled, unless several workers are faulty.
 fn check(seed: u64) {
     let world::RunOutcome { outcome, valid_jobs, faulty_vms } = world::World::run(seed);
     outcome.check(seed);
--- a/crates/core/tests/ledger.rs
+++ b/crates/core/tests/ledger.rs
@@ -13,15 +13,20 @@
 
 /// Number of random schedules.
 const SCHEDULES: u64 = 10_000;
-/// Random steps in one schedule.
+/// Number of random steps in one schedule.
 const STEPS: u64 = 150;
 /// Rounds without growth and admissions after which no limit may be exceeded. Each task may need a
 /// throttle, a wait of two measurement lags and a confirmed stop.
 const SETTLE_ROUNDS: u64 = 400;
+/// Simulated time between two steps.
 const STEP_INTERVAL: Duration = Duration::from_millis(500);
+/// Delay of usage measurements that the ledger allows for.
 const MEASUREMENT_LAG: Duration = Duration::from_secs(1);
+/// Resources of the VM.
 const CAPACITY: Resources = Resources::new(16_000, 60_000, 2);
+/// Resources set aside for the VM's service.
 const SERVICE: Resources = Resources::new(10_000, 20_000, 0);
+/// Limit of each class on the VM.
 const CLASS_LIMIT: Resources = Resources::new(5_000, 30_000, 1);
 
 fn id(number: u64) -> AttemptId {
@@ -38,8 +43,9 @@
     demand: TaskDemand,
     /// Actual usage at full speed, independent of the declared need.
     usage: Resources,
-    /// Allowed speed, in percent.
+    /// Allowed speed, in percent of full speed.
     speed: u64,
+    /// Time at which the task was throttled; `None` at full speed.
     throttled_at: Option<Duration>,
 }
 
@@ -48,7 +54,9 @@
     rng: Rng,
     now: Duration,
     ledger: Ledger,
+    /// Limits set in the ledger.
     limits: Limits,
+    /// Admitted tasks whose reservation is not released yet.
     tasks: BTreeMap<AttemptId, Task>,
     /// Evicted attempts whose stop is not confirmed yet.
     stopping: BTreeSet<AttemptId>,
@@ -81,18 +89,20 @@
         }
     }
 
-    /// Returns the sum of what the ledger has to reserve.
+    /// Returns the resources that the ledger has to reserve for all tasks: the larger of need and
+    /// measured usage of each.
     fn expected_reserved(&self) -> Resources {
         let amounts = self.tasks.values().map(|task| task.demand.need.max(&task.demand.measured));
         amounts.fold(Resources::default(), |sum, amount| sum.plus(&amount))
     }
 
-    /// Returns the sum of the declared needs.
+    /// Returns the sum of the declared needs of all tasks.
     fn declared(&self) -> Resources {
         let needs = self.tasks.values().map(|task| task.demand.need);
         needs.fold(Resources::default(), |sum, need| sum.plus(&need))
     }
 
+    /// Returns the resources that the ledger has to reserve for the tasks of a class.
     fn expected_class_reserved(&self, class: &str) -> Resources {
         let tasks = self.tasks.values().filter(|task| task.demand.class == class);
         tasks.fold(Resources::default(), |sum, task| {
@@ -100,7 +110,7 @@
         })
     }
 
-    /// Performs a random action, then a round.
+    /// Performs a random action, then advances the simulation by one round.
     fn step(&mut self) {
         let percentile = self.rng.u8(..100);
         match percentile {
@@ -124,6 +134,7 @@
         self.check_invariants();
     }
 
+    /// Asks the ledger to admit a random task, and checks its decision.
     fn admit_random(&mut self) {
         let need = Resources::new(
             self.rng.u64(1..4_000),
@@ -186,6 +197,7 @@
         }
     }
 
+    /// Changes the usage of a random task.
     fn change_random_usage(&mut self) {
         let index = self.rng.usize(..self.tasks.len().max(1));
         if let Some(task) = self.tasks.values_mut().nth(index) {
@@ -197,6 +209,7 @@
         }
     }
 
+    /// Sets limits with a random closing or none.
     fn change_random_closing(&mut self) {
         let closing = self.rng.bool().then(|| ClosingLimit {
             batch: Resources::new(self.rng.u64(500..6_000), self.rng.u64(500..40_000), 1),
@@ -219,6 +232,7 @@
         self.stopping.clear();
     }
 
+    /// Ends a random task.
     fn complete_random(&mut self) {
         let index = self.rng.usize(..self.tasks.len().max(1));
         if let Some(done) = self.tasks.keys().nth(index).cloned() {
@@ -226,6 +240,7 @@
         }
     }
 
+    /// Removes a task that no longer runs, and releases its reservation.
     fn remove_task(&mut self, attempt: &AttemptId) {
         self.tasks.remove(attempt);
         self.stopping.remove(attempt);
@@ -233,6 +248,7 @@
         assert!(!self.ledger.holds(attempt));
     }
 
+    /// Passes the measured usage of most tasks to the ledger.
     fn record_usage(&mut self) {
         for (attempt, task) in &mut self.tasks {
             if self.rng.u8(..100) < 70 {
@@ -246,6 +262,7 @@
         }
     }
 
+    /// Carries out the ledger's throttles, evictions and restores, and checks that each is allowed.
     fn enforce_limits(&mut self) {
         let overcommitted = self.ledger.is_overcommitted();
         for action in self.ledger.enforce_limits(self.now) {
@@ -285,6 +302,7 @@
         }
     }
 
+    /// Confirms the stop of each evicted attempt with a probability of one quarter.
     fn confirm_stops(&mut self) {
         let gone: Vec<AttemptId> =
             self.stopping.iter().filter(|_| self.rng.u8(..4) == 0).cloned().collect();
@@ -293,6 +311,8 @@
         }
     }
 
+    /// Checks that the reservations cover all tasks, and that the reported capacities respect the
+    /// limits.
     fn check_invariants(&self) {
         let reserved = self.ledger.reserved();
         assert!(
--- a/crates/core/tests/support/cell_world.rs
+++ b/crates/core/tests/support/cell_world.rs
@@ -15,6 +15,7 @@
 use crate::history::{self, Observation};
 use crate::owners::{Journal, Owner};
 
+/// Returns a duration of this many milliseconds.
 pub fn ms(number: u64) -> Duration {
     Duration::from_millis(number)
 }
@@ -22,13 +23,14 @@
 /// Scheduled event of the simulation. `I` is the type of the events that the test handles itself.
 #[derive(Clone)]
 pub enum Input<I> {
-    /// Polls an owner.
+    /// Runs the periodic poll of the owner with this index.
     Poll(usize),
     /// A report arrives at an owner.
     Report { owner: usize, report: Report },
-    /// An open report is answered now, even if no orders are waiting.
+    /// An agent's report that still waits for an answer is answered now, even if no orders are
+    /// ready.
     AnswerDue { owner: usize, agent: String, incarnation: Incarnation, sequence: u64 },
-    /// A batch arrives at the store.
+    /// An owner's batch of events arrives at the store.
     Commit { owner: usize, batch_number: u64, events: Vec<Event>, sent: Time },
     /// The reply of the store to a batch arrives at the owner.
     Committed { owner: usize, batch_number: u64, sent: Time, fenced: bool },
@@ -36,16 +38,17 @@
     Retry { owner: usize, batch_number: u64 },
     /// A new owner takes over the cell.
     TakeOver,
-    /// A caller submits the job with this index.
+    /// A caller submits the job with this index in [`CellWorld::jobs`].
     Submit(usize),
-    /// A caller cancels the job with this index.
+    /// A caller cancels the job with this index in [`CellWorld::jobs`].
     Cancel(usize),
     /// An input that the test handles itself.
     World(I),
 }
 
 impl<I> Input<I> {
-    /// Returns the owner that processes the input, if a pause of that owner delays the input.
+    /// Returns the index of the owner that processes the input; `None` if a paused owner does not
+    /// delay the input.
     fn target(&self) -> Option<usize> {
         match self {
             Input::Poll(owner)
@@ -70,17 +73,19 @@
 #[derive(Default)]
 pub struct Store {
     journal: Journal,
-    /// End of the store's outage.
+    /// End of the last outage of the store.
     pub down_until: Time,
-    /// End of a period in which commits are slow.
+    /// End of the last period in which commits are slow.
     pub slow_until: Time,
 }
 
-/// Result of a simulation run.
+/// History and final state of a simulation run.
 pub struct RunResult {
+    /// Events, executions and replies observed during the run, in order.
     pub history: Vec<Observation>,
-    /// State after all committed events.
+    /// State of the cell after all committed events.
     pub final_state: CellState,
+    /// Simulated time at which the run ended.
     pub ended_at: Time,
 }
 
@@ -100,35 +105,39 @@
 /// Durations and delays of a simulation run.
 #[derive(Debug, Clone, Copy)]
 pub struct Timing {
+    /// Settings of the simulated cell.
     pub settings: CellSettings,
     /// Time from which each message arrives exactly once and without a long delay.
     pub faults_end: Time,
     /// Time at which the run is aborted.
     pub time_limit: Time,
-    /// Upper limit of the usual message delay.
+    /// Upper limit of the delay of a message that is not late.
     pub max_delay_ms: u64,
-    /// Upper limit of the delay of late messages.
+    /// Upper limit of the delay of a late message.
     pub max_late_ms: u64,
-    /// Average number of messages of which one is late.
+    /// One message in this many is late, on average.
     pub late_one_in: u8,
 }
 
-/// State of the simulation.
+/// State of a simulation run. `I` is the type of the events that the test handles itself.
 pub struct CellWorld<I> {
+    /// Simulated time.
     pub now: Time,
     pub rng: Rng,
+    /// Durations and delays of this run.
     timing: Timing,
-    /// Scheduled inputs, by time and number.
+    /// Scheduled inputs, by time and by order of scheduling.
     inputs: BTreeMap<(Time, u64), Input<I>>,
     /// Last number given to an input or a ticket.
     last_number: u64,
     pub store: Store,
-    /// All owners so far; the last one is current.
+    /// All owners of the cell so far; the last one is current.
     pub owners: Vec<Owner>,
+    /// All jobs of the run, submitted or to be submitted.
     pub jobs: Vec<JobSpec>,
     /// Indexes of jobs by the ticket of their submission.
     tickets: BTreeMap<u64, usize>,
-    /// Indexes of jobs whose submission was confirmed.
+    /// Indexes of the jobs whose submission was confirmed to the caller.
     confirmed: BTreeSet<usize>,
     pub history: Vec<Observation>,
 }
@@ -174,7 +183,7 @@
         RunResult { history: self.history, final_state, ended_at: self.now }
     }
 
-    /// Adds a job and schedules its submission.
+    /// Adds a job and schedules its submission. Returns the index of the job.
     pub fn add_job(&mut self, job: JobSpec, submit_at: Time) -> usize {
         self.jobs.push(job);
         let index = self.jobs.len() - 1;
@@ -182,7 +191,7 @@
         index
     }
 
-    /// Schedules an input.
+    /// Schedules an input to be processed after this delay.
     pub fn schedule(&mut self, delay: Duration, input: Input<I>) {
         self.last_number += 1;
         self.inputs.insert((self.now + delay, self.last_number), input);
@@ -282,7 +291,7 @@
         self.now >= self.store.down_until.max(self.owners[owner].store_cut_until)
     }
 
-    /// Polls an owner, then commits and carries out what is due.
+    /// Polls an owner, then sends its next batch and carries out the effects of committed events.
     fn poll(&mut self, owner: usize) {
         let (local_time, reached) = (self.local_time(owner), self.reaches_store(owner));
         let is_current = owner == self.newest();
@@ -296,7 +305,7 @@
         self.release_effects(owner);
     }
 
-    /// Sends the next batch unless one is being committed.
+    /// Sends the owner's next batch of events to the journal unless one is being committed.
     fn commit_if_idle(&mut self, owner: usize) {
         if !self.owners[owner].is_committing {
             self.owners[owner].batch_number += 1;
@@ -304,7 +313,7 @@
         }
     }
 
-    /// Sends the owner's batch to the journal, and schedules a retry.
+    /// Sends the owner's current batch of events to the journal, and schedules a retry.
     fn commit(&mut self, owner: usize) {
         let (sent, batch_number) = (self.local_time(owner), self.owners[owner].batch_number);
         let Some(events) = self.owners[owner].take_batch() else { return };
@@ -319,7 +328,7 @@
         self.schedule(ms(2_000), Input::Retry { owner, batch_number });
     }
 
-    /// Processes a batch that has reached the journal.
+    /// Appends a batch that has reached the store to the journal, and sends the store's reply.
     fn write(&mut self, owner: usize, batch_number: u64, events: Vec<Event>, sent: Time) {
         if !self.reaches_store(owner) {
             return;
@@ -330,7 +339,7 @@
         self.deliver(Input::Committed { owner, batch_number, sent, fenced });
     }
 
-    /// Carries out the effects whose events are committed.
+    /// Carries out the owner's effects whose events are committed.
     fn release_effects(&mut self, owner: usize) {
         let Some(cell) = &mut self.owners[owner].cell else { return };
         for effect in cell.take_effects() {
@@ -346,7 +355,7 @@
         }
     }
 
-    /// Answers the open report of an agent if orders wait for it.
+    /// Answers the agent's report that waits for an answer if orders are ready for the agent.
     fn answer_if_due(&mut self, owner: usize, agent: &str) {
         if self.owners[owner].has_orders(self.local_time(owner), agent) {
             self.answer(owner, agent);
@@ -387,7 +396,8 @@
         );
     }
 
-    /// Passes a report to an owner, and answers it now if orders wait or else after one second.
+    /// Passes an agent's report to an owner, which answers it at once if orders are ready and
+    /// otherwise after one second.
     fn report(&mut self, owner: usize, report: Report) {
         let local_time = self.local_time(owner);
         if !self.owners[owner].accept_report(local_time, &report) {
@@ -405,7 +415,7 @@
         self.schedule(ms(1_000), Input::AnswerDue { owner, agent, incarnation, sequence });
     }
 
-    /// Sends the answer to the open report of an agent.
+    /// Sends the answer to the agent's report that waits for one.
     fn answer(&mut self, owner: usize, agent: &str) {
         let local_time = self.local_time(owner);
         let answered = self.owners[owner].answer(local_time, agent, &mut self.history);
--- a/crates/core/tests/support/owners.rs
+++ b/crates/core/tests/support/owners.rs
@@ -14,6 +14,7 @@
 /// Journal of the committed events of a cell, fenced by the epoch.
 #[derive(Default)]
 pub struct Journal {
+    /// Committed events, oldest first.
     log: Vec<Event>,
     /// Epoch of the current owner.
     pub epoch: Epoch,
@@ -51,9 +52,9 @@
         cell
     }
 
-    /// Appends a batch of the owner of `epoch`. Tells whether that owner is fenced; `None` for a
-    /// delayed copy of an earlier batch, which fails the compare-and-swap. Repeating the last batch
-    /// has no effect.
+    /// Appends a batch of events from the owner of `epoch`. Tells whether that owner is fenced;
+    /// `None` for a delayed copy of an earlier batch, which fails the compare-and-swap. Repeating
+    /// the last batch has no effect.
     pub fn write(
         &mut self,
         epoch: Epoch,
@@ -84,20 +85,21 @@
     }
 }
 
-/// Owner process.
+/// Simulated owner process of a cell.
 pub struct Owner {
-    /// `None` after the process was killed.
+    /// State machine of the owner; `None` after the process was killed.
     pub cell: Option<Cell>,
     /// Speed of the owner's clock relative to true time.
     pub clock_rate: f64,
-    /// Number of the last batch.
+    /// Number of the last batch of events sent to the journal.
     pub batch_number: u64,
     /// Whether a batch was sent to the journal and not confirmed yet.
     pub is_committing: bool,
     /// Incarnation and sequence number of each agent's report that waits for an answer.
     pending_reports: BTreeMap<String, (Incarnation, u64)>,
+    /// End of the last pause of the process.
     pub paused_until: Time,
-    /// End of a network partition between the owner and the store.
+    /// End of the last network partition between the owner and the store.
     pub store_cut_until: Time,
 }
 
@@ -114,7 +116,7 @@
         }
     }
 
-    /// Polls the cell. Tells whether to poll it again.
+    /// Polls the cell. Tells whether the cell is to be polled again.
     pub fn poll(&mut self, now: Time, reaches_store: bool, is_current: bool) -> bool {
         let Some(cell) = &mut self.cell else { return false };
         match reaches_store {
@@ -126,7 +128,8 @@
         !cell.is_stopped() || is_current
     }
 
-    /// Returns the batch to write: a new one, or the one whose commit is not confirmed yet.
+    /// Returns the batch of events to write: a new one, or the one whose commit is not confirmed
+    /// yet. Returns `None` if there is none.
     pub fn take_batch(&mut self) -> Option<Vec<Event>> {
         let events = self.cell.as_mut()?.take_batch();
         self.is_committing = !events.is_empty();
@@ -147,7 +150,8 @@
         true
     }
 
-    /// Processes a report, and keeps it open for an answer. Tells whether the report was accepted.
+    /// Processes an agent's report, and records that it waits for an answer. Tells whether the
+    /// report was accepted.
     pub fn accept_report(&mut self, now: Time, report: &Report) -> bool {
         let Some(cell) = &mut self.cell else { return false };
         if cell.report(now, report) != ReportStatus::Accepted {
@@ -162,7 +166,8 @@
         self.pending_reports.get(agent) == Some(&(incarnation, sequence))
     }
 
-    /// Answers the open report of an agent.
+    /// Answers the agent's report that waits for an answer. Returns the agent's incarnation and the
+    /// orders; `None` if no report waits or the owner has stopped.
     pub fn answer(
         &mut self,
         now: Time,
@@ -175,7 +180,7 @@
         Some((incarnation, orders))
     }
 
-    /// Tells whether the agent's open report has to be answered at once.
+    /// Tells whether the agent's report that waits for an answer has to be answered at once.
     pub fn has_orders(&self, now: Time, agent: &str) -> bool {
         self.cell.as_ref().is_some_and(|cell| cell.has_orders(now, agent))
     }
