--- a/crates/core/src/cell/answer.rs
+++ b/crates/core/src/cell/answer.rs
@@ -159,8 +159,8 @@
             && is_send_due
     }
 
-    /// Tells whether to send a stop order for an attempt now: the event that stops it is committed,
-    /// and no stop order was sent shortly before.
+    /// Tells whether to send a stop order for an attempt now: the event that allows the order is
+    /// committed, and no stop order was sent shortly before.
     fn is_stop_due(&self, live: &LiveAttempt, now: Time) -> bool {
         live.stop_event.is_some_and(|after| after <= self.committed)
             && is_resend_due(live.stop_sent, now)
--- a/crates/core/src/cell/attempts.rs
+++ b/crates/core/src/cell/attempts.rs
@@ -10,7 +10,7 @@
 use crate::resources::Resources;
 use crate::time::{lease_wait, Time};
 
-/// Largest stored length of the reason for a task's failure; a longer reason is cut.
+/// Largest stored length of the reason for a task's failure, in characters; a longer reason is cut.
 const MAX_REASON_CHARS: usize = 256;
 
 /// Result of processing an agent's report.
--- a/crates/core/src/cell/owner.rs
+++ b/crates/core/src/cell/owner.rs
@@ -139,8 +139,8 @@
     stopped: bool,
     /// Time of the next check for expired leases.
     next_sweep: Time,
-    /// Tokens in the token bucket that limits starts of requeued tasks: the number of these tasks
-    /// that may be started now.
+    /// Number of requeued tasks that may be started now: the content of a token bucket that is
+    /// refilled at a fixed rate.
     pub(super) requeue_budget: f64,
     /// Time of the last placement pass.
     pub(super) last_pass: Time,
--- a/crates/core/src/cell/state.rs
+++ b/crates/core/src/cell/state.rs
@@ -73,8 +73,8 @@
     Started { attempt: AttemptId, agent: AgentId },
     /// The attempt completed its task.
     Completed { attempt: AttemptId },
-    /// The agent stopped the attempt to free resources. Its task waits for another attempt, which
-    /// resumes from `checkpoint`, or from the previous checkpoint if there is none.
+    /// The agent stopped the attempt to free resources. The next attempt of the task resumes from
+    /// `checkpoint`, or from the previous checkpoint if there is none.
     Evicted { attempt: AttemptId, checkpoint: Option<Bytes> },
     /// The attempt failed, for the reason that its agent reported.
     Failed {
--- a/crates/core/src/cell/worker.rs
+++ b/crates/core/src/cell/worker.rs
@@ -96,7 +96,7 @@
     pub sequence: Option<u64>,
     /// Epoch that the agent had accepted at its last report.
     pub epoch: Epoch,
-    /// Whether the agent is shutting down: it finishes its tasks and takes no new ones.
+    /// Whether the agent is leaving the cell: it finishes its tasks and takes no new ones.
     pub leaving: bool,
     /// Name of the rack that the agent reported.
     pub rack: String,
@@ -104,8 +104,8 @@
     pub rack_number: usize,
     /// Reported capacity for batch work.
     pub capacity: Resources,
-    /// Largest capacity for batch work reported so far. During a closing, a configured period with
-    /// less batch work, `capacity` is lower.
+    /// Largest capacity for batch work reported so far. A closing, a configured period with less
+    /// batch work, lowers `capacity` temporarily.
     pub max_capacity: Resources,
     /// Reported free capacity for tasks that are not urgent.
     pub free: Resources,
@@ -157,8 +157,8 @@
 }
 
 impl Worker {
-    /// Creates the record of a worker that has not reported yet. `lease_expiry` is the time by
-    /// which every lease granted to it so far has expired.
+    /// Creates the record of a worker that has not reported yet. `lease_expiry` is the first value of
+    /// the field with this name.
     pub fn new(agent: AgentId, lease_expiry: Time) -> Self {
         Worker {
             agent,
@@ -402,8 +402,8 @@
         self.find(agent).and_then(|slot| self.get_mut(slot))
     }
 
-    /// Returns the slot number of the worker of `agent`. Adds the worker if the agent is unknown;
-    /// `lease_expiry` is then the time by which all leases granted to it so far have expired.
+    /// Returns the slot number of the worker of `agent`. Adds the worker, with this lease expiry, if
+    /// the agent is unknown.
     pub fn insert(&mut self, agent: &AgentId, lease_expiry: Time) -> usize {
         if let Some(slot) = self.find(agent) {
             return slot;
