--- a/crates/core/src/cell/worker.rs
+++ b/crates/core/src/cell/worker.rs
@@ -96,7 +96,7 @@
     pub sequence: Option<u64>,
     /// Epoch that the agent had accepted at its last report.
     pub epoch: Epoch,
-    /// Whether the agent is leaving the cell: it finishes its tasks and takes no new ones.
+    /// Whether the agent is draining: it finishes its tasks and takes no new ones.
     pub leaving: bool,
     /// Name of the rack that the agent reported.
     pub rack: String,
@@ -157,8 +157,8 @@
 }
 
 impl Worker {
-    /// Creates the record of a worker that has not reported yet. `lease_expiry` is the first value of
-    /// the field with this name.
+    /// Creates the record of a worker that has not reported yet. `lease_expiry` is the first value
+    /// of the field with this name.
     pub fn new(agent: AgentId, lease_expiry: Time) -> Self {
         Worker {
             agent,
@@ -402,8 +402,8 @@
         self.find(agent).and_then(|slot| self.get_mut(slot))
     }
 
-    /// Returns the slot number of the worker of `agent`. Adds the worker, with this lease expiry, if
-    /// the agent is unknown.
+    /// Returns the slot number of the worker of `agent`. Adds the worker, with this lease expiry,
+    /// if the agent is unknown.
     pub fn insert(&mut self, agent: &AgentId, lease_expiry: Time) -> usize {
         if let Some(slot) = self.find(agent) {
             return slot;
