--- a/crates/core/tests/ledger.rs
+++ b/crates/core/tests/ledger.rs
@@ -13,15 +13,20 @@
 
 /// Number of random schedules.
 const SCHEDULES: u64 = 10_000;
-/// Random steps in one schedule.
+/// Number of random steps in one schedule.
 const STEPS: u64 = 150;
 /// Rounds without growth and admissions after which no limit may be exceeded. Each task may need a
 /// throttle, a wait of two measurement lags and a confirmed stop.
 const SETTLE_ROUNDS: u64 = 400;
+/// Simulated time between two steps.
 const STEP_INTERVAL: Duration = Duration::from_millis(500);
+/// Delay of usage measurements that the ledger allows for.
 const MEASUREMENT_LAG: Duration = Duration::from_secs(1);
+/// Resources of the VM.
 const CAPACITY: Resources = Resources::new(16_000, 60_000, 2);
+/// Resources set aside for the VM's service.
 const SERVICE: Resources = Resources::new(10_000, 20_000, 0);
+/// Limit of each class on the VM.
 const CLASS_LIMIT: Resources = Resources::new(5_000, 30_000, 1);
 
 fn id(number: u64) -> AttemptId {
@@ -38,8 +43,9 @@
     demand: TaskDemand,
     /// Actual usage at full speed, independent of the declared need.
     usage: Resources,
-    /// Allowed speed, in percent.
+    /// Allowed speed, in percent of full speed.
     speed: u64,
+    /// Time at which the task was throttled; `None` at full speed.
     throttled_at: Option<Duration>,
 }
 
@@ -48,12 +54,14 @@
     rng: Rng,
     now: Duration,
     ledger: Ledger,
+    /// Limits set in the ledger.
     limits: Limits,
+    /// Admitted tasks whose reservation is not released yet.
     tasks: BTreeMap<AttemptId, Task>,
     /// Evicted attempts whose stop is not confirmed yet.
     stopping: BTreeSet<AttemptId>,
     /// Number of the next attempt.
-    next: u64,
+    next_number: u64,
 }
 
 impl World {
@@ -77,40 +85,42 @@
             limits: limits(None),
             tasks: BTreeMap::new(),
             stopping: BTreeSet::new(),
-            next: 1,
+            next_number: 1,
         }
     }
 
-    /// Returns the sum of what the ledger has to reserve.
-    fn total_held(&self) -> Resources {
+    /// Returns the resources that the ledger has to reserve for all tasks: the larger of need and
+    /// measured usage of each.
+    fn expected_reserved(&self) -> Resources {
         let amounts = self.tasks.values().map(|task| task.demand.need.max(&task.demand.measured));
         amounts.fold(Resources::default(), |sum, amount| sum.plus(&amount))
     }
 
-    /// Returns the sum of the declared needs.
+    /// Returns the sum of the declared needs of all tasks.
     fn declared(&self) -> Resources {
         let needs = self.tasks.values().map(|task| task.demand.need);
         needs.fold(Resources::default(), |sum, need| sum.plus(&need))
     }
 
-    fn class_held(&self, class: &str) -> Resources {
+    /// Returns the resources that the ledger has to reserve for the tasks of a class.
+    fn expected_class_reserved(&self, class: &str) -> Resources {
         let tasks = self.tasks.values().filter(|task| task.demand.class == class);
         tasks.fold(Resources::default(), |sum, task| {
             sum.plus(&task.demand.need.max(&task.demand.measured))
         })
     }
 
-    /// Performs a random action, then a round.
+    /// Performs a random action, then advances the simulation by one round.
     fn step(&mut self) {
         let percentile = self.rng.u8(..100);
         match percentile {
             75.. => {}
             _ if !schedules::step(|| format!("{:?} kind {percentile}", self.now)) => {}
-            0..40 => self.admit(),
-            40..60 => self.grow(),
-            60..63 => self.change_closing(),
-            63..66 => self.restart(),
-            _ => self.finish_one(),
+            0..40 => self.admit_random(),
+            40..60 => self.change_random_usage(),
+            60..63 => self.change_random_closing(),
+            63..66 => self.restart_agent(),
+            _ => self.complete_random(),
         }
         self.run_round();
     }
@@ -121,10 +131,11 @@
         self.record_usage();
         self.enforce_limits();
         self.confirm_stops();
-        self.check();
+        self.check_invariants();
     }
 
-    fn admit(&mut self) {
+    /// Asks the ledger to admit a random task, and checks its decision.
+    fn admit_random(&mut self) {
         let need = Resources::new(
             self.rng.u64(1..4_000),
             self.rng.u64(1..20_000),
@@ -137,8 +148,8 @@
             urgent: self.rng.u8(..8) == 0,
             measured: Resources::default(),
         };
-        let new = id(self.next);
-        self.next += 1;
+        let new = id(self.next_number);
+        self.next_number += 1;
         let overcommitted = self.ledger.is_overcommitted();
         let result = self.ledger.admit(new.clone(), demand.clone());
         if overcommitted {
@@ -153,10 +164,13 @@
                 let usage = Resources::new(need.cpu_milli * percent / 100, need.memory_mib, 0);
                 let task = Task { demand: demand.clone(), usage, speed: 100, throttled_at: None };
                 self.tasks.insert(new, task);
-                let sum = self.total_held();
+                let sum = self.expected_reserved();
                 assert!(sum.fits_in(&CAPACITY.minus(&SERVICE)), "over capacity: {sum:?}");
                 assert!(sum.fits_in(&self.batch_limit(demand.urgent)), "over the batch limit");
-                assert!(self.class_held(class).fits_in(&CLASS_LIMIT), "over the class limit");
+                assert!(
+                    self.expected_class_reserved(class).fits_in(&CLASS_LIMIT),
+                    "over the class limit"
+                );
             }
             Err(Refusal::Capacity { need, available }) => assert!(!need.fits_in(&available)),
             Err(Refusal::ClassLimit { need, available }) => assert!(!need.fits_in(&available)),
@@ -183,7 +197,8 @@
         }
     }
 
-    fn grow(&mut self) {
+    /// Changes the usage of a random task.
+    fn change_random_usage(&mut self) {
         let index = self.rng.usize(..self.tasks.len().max(1));
         if let Some(task) = self.tasks.values_mut().nth(index) {
             task.usage = Resources::new(
@@ -194,7 +209,8 @@
         }
     }
 
-    fn change_closing(&mut self) {
+    /// Sets limits with a random closing or none.
+    fn change_random_closing(&mut self) {
         let closing = self.rng.bool().then(|| ClosingLimit {
             batch: Resources::new(self.rng.u64(500..6_000), self.rng.u64(500..40_000), 1),
             classes: if self.rng.bool() { vec!["report".into()] } else { Vec::new() },
@@ -205,7 +221,7 @@
     }
 
     /// Restarts the agent, which rebuilds its ledger from the running tasks.
-    fn restart(&mut self) {
+    fn restart_agent(&mut self) {
         self.ledger = Ledger::new(CAPACITY, MEASUREMENT_LAG);
         self.ledger.set_limits(self.limits.clone());
         for (attempt, task) in &mut self.tasks {
@@ -216,20 +232,23 @@
         self.stopping.clear();
     }
 
-    fn finish_one(&mut self) {
+    /// Ends a random task.
+    fn complete_random(&mut self) {
         let index = self.rng.usize(..self.tasks.len().max(1));
         if let Some(done) = self.tasks.keys().nth(index).cloned() {
-            self.remove(&done);
+            self.remove_task(&done);
         }
     }
 
-    fn remove(&mut self, attempt: &AttemptId) {
+    /// Removes a task that no longer runs, and releases its reservation.
+    fn remove_task(&mut self, attempt: &AttemptId) {
         self.tasks.remove(attempt);
         self.stopping.remove(attempt);
         self.ledger.release(attempt);
         assert!(!self.ledger.holds(attempt));
     }
 
+    /// Passes the measured usage of most tasks to the ledger.
     fn record_usage(&mut self) {
         for (attempt, task) in &mut self.tasks {
             if self.rng.u8(..100) < 70 {
@@ -243,6 +262,7 @@
         }
     }
 
+    /// Carries out the ledger's throttles, evictions and restores, and checks that each is allowed.
     fn enforce_limits(&mut self) {
         let overcommitted = self.ledger.is_overcommitted();
         for action in self.ledger.enforce_limits(self.now) {
@@ -282,18 +302,21 @@
         }
     }
 
+    /// Confirms the stop of each evicted attempt with a probability of one quarter.
     fn confirm_stops(&mut self) {
         let gone: Vec<AttemptId> =
             self.stopping.iter().filter(|_| self.rng.u8(..4) == 0).cloned().collect();
         for attempt in gone {
-            self.remove(&attempt);
+            self.remove_task(&attempt);
         }
     }
 
-    fn check(&self) {
+    /// Checks that the reservations cover all tasks, and that the reported capacities respect the
+    /// limits.
+    fn check_invariants(&self) {
         let reserved = self.ledger.reserved();
         assert!(
-            self.total_held().fits_in(&reserved),
+            self.expected_reserved().fits_in(&reserved),
             "reserves less than the declared needs and measured usage"
         );
         let assigned = self.declared();
--- a/crates/core/tests/support/cell_world.rs
+++ b/crates/core/tests/support/cell_world.rs
@@ -15,6 +15,7 @@
 use crate::history::{self, Observation};
 use crate::owners::{Journal, Owner};
 
+/// Returns a duration of this many milliseconds.
 pub fn ms(number: u64) -> Duration {
     Duration::from_millis(number)
 }
@@ -22,30 +23,32 @@
 /// Scheduled event of the simulation. `I` is the type of the events that the test handles itself.
 #[derive(Clone)]
 pub enum Input<I> {
-    /// Polls an owner.
+    /// Runs the periodic poll of the owner with this index.
     Poll(usize),
     /// A report arrives at an owner.
     Report { owner: usize, report: Report },
-    /// An open report is answered now, even if no orders are waiting.
+    /// An agent's report that still waits for an answer is answered now, even if no orders are
+    /// ready.
     AnswerDue { owner: usize, agent: String, incarnation: Incarnation, sequence: u64 },
-    /// A batch arrives at the store.
-    Commit { owner: usize, batch: u64, events: Vec<Event>, sent: Time },
+    /// An owner's batch of events arrives at the store.
+    Commit { owner: usize, batch_number: u64, events: Vec<Event>, sent: Time },
     /// The reply of the store to a batch arrives at the owner.
-    Committed { owner: usize, batch: u64, sent: Time, fenced: bool },
+    Committed { owner: usize, batch_number: u64, sent: Time, fenced: bool },
     /// The owner sends a batch again if the store has not replied.
-    Retry { owner: usize, batch: u64 },
+    Retry { owner: usize, batch_number: u64 },
     /// A new owner takes over the cell.
     TakeOver,
-    /// A caller submits the job with this index.
+    /// A caller submits the job with this index in [`CellWorld::jobs`].
     Submit(usize),
-    /// A caller cancels the job with this index.
+    /// A caller cancels the job with this index in [`CellWorld::jobs`].
     Cancel(usize),
     /// An input that the test handles itself.
     World(I),
 }
 
 impl<I> Input<I> {
-    /// Returns the owner that processes the input, if a pause of that owner delays the input.
+    /// Returns the index of the owner that processes the input; `None` if a paused owner does not
+    /// delay the input.
     fn target(&self) -> Option<usize> {
         match self {
             Input::Poll(owner)
@@ -70,17 +73,19 @@
 #[derive(Default)]
 pub struct Store {
     journal: Journal,
-    /// End of the store's outage.
+    /// End of the last outage of the store.
     pub down_until: Time,
-    /// End of a period in which commits are slow.
+    /// End of the last period in which commits are slow.
     pub slow_until: Time,
 }
 
-/// Result of a simulation run.
+/// History and final state of a simulation run.
 pub struct RunResult {
+    /// Events, executions and replies observed during the run, in order.
     pub history: Vec<Observation>,
-    /// State after all committed events.
-    pub end: CellState,
+    /// State of the cell after all committed events.
+    pub final_state: CellState,
+    /// Simulated time at which the run ended.
     pub ended_at: Time,
 }
 
@@ -91,7 +96,7 @@
     ///
     /// Panics if the history violates a rule.
     pub fn check(&self, seed: u64) {
-        if let Err((violation, detail)) = history::check(&self.history, &self.end) {
+        if let Err((violation, detail)) = history::check(&self.history, &self.final_state) {
             panic!("seed {seed}: {violation:?} at {:?}: {detail}", self.ended_at);
         }
     }
@@ -100,36 +105,40 @@
 /// Durations and delays of a simulation run.
 #[derive(Debug, Clone, Copy)]
 pub struct Timing {
+    /// Settings of the simulated cell.
     pub settings: CellSettings,
     /// Time from which each message arrives exactly once and without a long delay.
     pub faults_end: Time,
     /// Time at which the run is aborted.
     pub time_limit: Time,
-    /// Upper limit of the usual message delay.
+    /// Upper limit of the delay of a message that is not late.
     pub max_delay_ms: u64,
-    /// Upper limit of the delay of late messages.
+    /// Upper limit of the delay of a late message.
     pub max_late_ms: u64,
-    /// Average number of messages of which one is late.
+    /// One message in this many is late, on average.
     pub late_one_in: u8,
 }
 
-/// State of the simulation.
+/// State of a simulation run. `I` is the type of the events that the test handles itself.
 pub struct CellWorld<I> {
+    /// Simulated time.
     pub now: Time,
     pub rng: Rng,
+    /// Durations and delays of this run.
     timing: Timing,
-    /// Scheduled inputs, by time and number.
+    /// Scheduled inputs, by time and by order of scheduling.
     inputs: BTreeMap<(Time, u64), Input<I>>,
     /// Last number given to an input or a ticket.
     last_number: u64,
     pub store: Store,
-    /// All owners so far; the last one is current.
+    /// All owners of the cell so far; the last one is current.
     pub owners: Vec<Owner>,
+    /// All jobs of the run, submitted or to be submitted.
     pub jobs: Vec<JobSpec>,
     /// Indexes of jobs by the ticket of their submission.
     tickets: BTreeMap<u64, usize>,
-    /// Indexes of jobs whose submission was confirmed.
-    promised: BTreeSet<usize>,
+    /// Indexes of the jobs whose submission was confirmed to the caller.
+    confirmed: BTreeSet<usize>,
     pub history: Vec<Observation>,
 }
 
@@ -145,7 +154,7 @@
             owners: Vec::new(),
             jobs: Vec::new(),
             tickets: BTreeMap::new(),
-            promised: BTreeSet::new(),
+            confirmed: BTreeSet::new(),
             history: Vec::new(),
         }
     }
@@ -169,12 +178,12 @@
     }
 
     /// Returns the history and the final state.
-    pub fn end(self) -> RunResult {
-        let end = self.store.journal.replay();
-        RunResult { history: self.history, end, ended_at: self.now }
+    pub fn into_result(self) -> RunResult {
+        let final_state = self.store.journal.replay();
+        RunResult { history: self.history, final_state, ended_at: self.now }
     }
 
-    /// Adds a job and schedules its submission.
+    /// Adds a job and schedules its submission. Returns the index of the job.
     pub fn add_job(&mut self, job: JobSpec, submit_at: Time) -> usize {
         self.jobs.push(job);
         let index = self.jobs.len() - 1;
@@ -182,7 +191,7 @@
         index
     }
 
-    /// Schedules an input.
+    /// Schedules an input to be processed after this delay.
     pub fn schedule(&mut self, delay: Duration, input: Input<I>) {
         self.last_number += 1;
         self.inputs.insert((self.now + delay, self.last_number), input);
@@ -221,7 +230,7 @@
             return false;
         };
         let ended = |job: &JobSpec| cell.state().jobs.get(&job.id).map(|job| job.phase.is_final());
-        self.promised.len() == self.jobs.len()
+        self.confirmed.len() == self.jobs.len()
             && !cell.has_uncommitted()
             && self.jobs.iter().all(|job| ended(job) == Some(true))
     }
@@ -236,15 +245,19 @@
                     self.answer(owner, &agent);
                 }
             }
-            Input::Commit { owner, batch, events, sent } => self.write(owner, batch, events, sent),
-            Input::Committed { owner, batch, sent, fenced } => {
-                if self.owners[owner].handle_commit(batch, sent, fenced) {
+            Input::Commit { owner, batch_number, events, sent } => {
+                self.write(owner, batch_number, events, sent)
+            }
+            Input::Committed { owner, batch_number, sent, fenced } => {
+                if self.owners[owner].handle_commit(batch_number, sent, fenced) {
                     self.release_effects(owner);
                     self.commit_if_idle(owner);
                 }
             }
-            Input::Retry { owner, batch } => {
-                if self.owners[owner].batch == batch && self.owners[owner].is_committing {
+            Input::Retry { owner, batch_number } => {
+                if self.owners[owner].batch_number == batch_number
+                    && self.owners[owner].is_committing
+                {
                     self.commit(owner);
                 }
             }
@@ -278,7 +291,7 @@
         self.now >= self.store.down_until.max(self.owners[owner].store_cut_until)
     }
 
-    /// Polls an owner, then commits and carries out what is due.
+    /// Polls an owner, then sends its next batch and carries out the effects of committed events.
     fn poll(&mut self, owner: usize) {
         let (local_time, reached) = (self.local_time(owner), self.reaches_store(owner));
         let is_current = owner == self.newest();
@@ -292,19 +305,19 @@
         self.release_effects(owner);
     }
 
-    /// Sends the next batch unless one is being committed.
+    /// Sends the owner's next batch of events to the journal unless one is being committed.
     fn commit_if_idle(&mut self, owner: usize) {
         if !self.owners[owner].is_committing {
-            self.owners[owner].batch += 1;
+            self.owners[owner].batch_number += 1;
             self.commit(owner);
         }
     }
 
-    /// Sends the owner's batch to the journal, and schedules a retry.
+    /// Sends the owner's current batch of events to the journal, and schedules a retry.
     fn commit(&mut self, owner: usize) {
-        let (sent, batch) = (self.local_time(owner), self.owners[owner].batch);
+        let (sent, batch_number) = (self.local_time(owner), self.owners[owner].batch_number);
         let Some(events) = self.owners[owner].take_batch() else { return };
-        let commit = Input::Commit { owner, batch, events, sent };
+        let commit = Input::Commit { owner, batch_number, events, sent };
         match self.now < self.store.slow_until {
             true => {
                 let delay = ms(self.rng.u64(500..4_000));
@@ -312,21 +325,21 @@
             }
             false => self.deliver(commit),
         }
-        self.schedule(ms(2_000), Input::Retry { owner, batch });
+        self.schedule(ms(2_000), Input::Retry { owner, batch_number });
     }
 
-    /// Processes a batch that has reached the journal.
-    fn write(&mut self, owner: usize, batch: u64, events: Vec<Event>, sent: Time) {
+    /// Appends a batch that has reached the store to the journal, and sends the store's reply.
+    fn write(&mut self, owner: usize, batch_number: u64, events: Vec<Event>, sent: Time) {
         if !self.reaches_store(owner) {
             return;
         }
         let epoch = owner as Epoch + 1;
-        let written = self.store.journal.write(epoch, batch, events, &mut self.history);
+        let written = self.store.journal.write(epoch, batch_number, events, &mut self.history);
         let Some(fenced) = written else { return };
-        self.deliver(Input::Committed { owner, batch, sent, fenced });
+        self.deliver(Input::Committed { owner, batch_number, sent, fenced });
     }
 
-    /// Carries out the effects whose events are committed.
+    /// Carries out the owner's effects whose events are committed.
     fn release_effects(&mut self, owner: usize) {
         let Some(cell) = &mut self.owners[owner].cell else { return };
         for effect in cell.take_effects() {
@@ -334,7 +347,7 @@
                 Effect::Durable(ticket) => {
                     if let Some(job) = self.tickets.remove(&ticket) {
                         self.history.push(Observation::JobAccepted(self.jobs[job].id.clone()));
-                        self.promised.insert(job);
+                        self.confirmed.insert(job);
                     }
                 }
                 Effect::Wake(agent) => self.answer_if_due(owner, &agent),
@@ -342,7 +355,7 @@
         }
     }
 
-    /// Answers the open report of an agent if orders wait for it.
+    /// Answers the agent's report that waits for an answer if orders are ready for the agent.
     fn answer_if_due(&mut self, owner: usize, agent: &str) {
         if self.owners[owner].has_orders(self.local_time(owner), agent) {
             self.answer(owner, agent);
@@ -351,7 +364,7 @@
 
     /// Submits a job to the current owner, and again every three seconds until it is confirmed.
     fn submit(&mut self, job: usize) {
-        if self.promised.contains(&job) {
+        if self.confirmed.contains(&job) {
             return;
         }
         let owner = self.newest();
@@ -383,7 +396,8 @@
         );
     }
 
-    /// Passes a report to an owner, and answers it now if orders wait or else after one second.
+    /// Passes an agent's report to an owner, which answers it at once if orders are ready and
+    /// otherwise after one second.
     fn report(&mut self, owner: usize, report: Report) {
         let local_time = self.local_time(owner);
         if !self.owners[owner].accept_report(local_time, &report) {
@@ -401,7 +415,7 @@
         self.schedule(ms(1_000), Input::AnswerDue { owner, agent, incarnation, sequence });
     }
 
-    /// Sends the answer to the open report of an agent.
+    /// Sends the answer to the agent's report that waits for one.
     fn answer(&mut self, owner: usize, agent: &str) {
         let local_time = self.local_time(owner);
         let answered = self.owners[owner].answer(local_time, agent, &mut self.history);
--- a/crates/core/tests/support/owners.rs
+++ b/crates/core/tests/support/owners.rs
@@ -14,6 +14,7 @@
 /// Journal of the committed events of a cell, fenced by the epoch.
 #[derive(Default)]
 pub struct Journal {
+    /// Committed events, oldest first.
     log: Vec<Event>,
     /// Epoch of the current owner.
     pub epoch: Epoch,
@@ -51,24 +52,26 @@
         cell
     }
 
-    /// Appends a batch of the owner of `epoch`. Tells whether that owner is fenced; `None` for a
-    /// delayed copy of an earlier batch, which fails the compare-and-swap. Repeating the last batch
-    /// has no effect.
+    /// Appends a batch of events from the owner of `epoch`. Tells whether that owner is fenced;
+    /// `None` for a delayed copy of an earlier batch, which fails the compare-and-swap. Repeating
+    /// the last batch has no effect.
     pub fn write(
         &mut self,
         epoch: Epoch,
-        batch: u64,
+        batch_number: u64,
         events: Vec<Event>,
         history: &mut Vec<Observation>,
     ) -> Option<bool> {
         match (epoch == self.epoch, self.last_batch) {
             (false, _) => return Some(true),
-            (true, (last_epoch, last_number)) if last_epoch == epoch && last_number > batch => {
+            (true, (last_epoch, last_number))
+                if last_epoch == epoch && last_number > batch_number =>
+            {
                 return None
             }
-            (true, last_batch) if last_batch == (epoch, batch) => {}
+            (true, last_batch) if last_batch == (epoch, batch_number) => {}
             (true, _) => {
-                self.last_batch = (epoch, batch);
+                self.last_batch = (epoch, batch_number);
                 self.append(events, history);
             }
         }
@@ -82,20 +85,21 @@
     }
 }
 
-/// Owner process.
+/// Simulated owner process of a cell.
 pub struct Owner {
-    /// `None` after the process was killed.
+    /// State machine of the owner; `None` after the process was killed.
     pub cell: Option<Cell>,
     /// Speed of the owner's clock relative to true time.
     pub clock_rate: f64,
-    /// Number of the last batch.
-    pub batch: u64,
+    /// Number of the last batch of events sent to the journal.
+    pub batch_number: u64,
     /// Whether a batch was sent to the journal and not confirmed yet.
     pub is_committing: bool,
     /// Incarnation and sequence number of each agent's report that waits for an answer.
     pending_reports: BTreeMap<String, (Incarnation, u64)>,
+    /// End of the last pause of the process.
     pub paused_until: Time,
-    /// End of a network partition between the owner and the store.
+    /// End of the last network partition between the owner and the store.
     pub store_cut_until: Time,
 }
 
@@ -104,7 +108,7 @@
         Owner {
             cell: Some(cell),
             clock_rate,
-            batch: 0,
+            batch_number: 0,
             is_committing: false,
             pending_reports: BTreeMap::new(),
             paused_until: Time::ZERO,
@@ -112,7 +116,7 @@
         }
     }
 
-    /// Polls the cell. Tells whether to poll it again.
+    /// Polls the cell. Tells whether the cell is to be polled again.
     pub fn poll(&mut self, now: Time, reaches_store: bool, is_current: bool) -> bool {
         let Some(cell) = &mut self.cell else { return false };
         match reaches_store {
@@ -124,7 +128,8 @@
         !cell.is_stopped() || is_current
     }
 
-    /// Returns the batch to write: a new one, or the one whose commit is not confirmed yet.
+    /// Returns the batch of events to write: a new one, or the one whose commit is not confirmed
+    /// yet. Returns `None` if there is none.
     pub fn take_batch(&mut self) -> Option<Vec<Event>> {
         let events = self.cell.as_mut()?.take_batch();
         self.is_committing = !events.is_empty();
@@ -132,8 +137,8 @@
     }
 
     /// Processes the journal's reply to a batch. Tells whether the batch is now committed.
-    pub fn handle_commit(&mut self, batch: u64, sent: Time, fenced: bool) -> bool {
-        let is_open = self.is_committing && self.batch == batch;
+    pub fn handle_commit(&mut self, batch_number: u64, sent: Time, fenced: bool) -> bool {
+        let is_open = self.is_committing && self.batch_number == batch_number;
         let Some(cell) = self.cell.as_mut().filter(|_| is_open) else { return false };
         if fenced {
             cell.stop();
@@ -145,7 +150,8 @@
         true
     }
 
-    /// Processes a report, and keeps it open for an answer. Tells whether the report was accepted.
+    /// Processes an agent's report, and records that it waits for an answer. Tells whether the
+    /// report was accepted.
     pub fn accept_report(&mut self, now: Time, report: &Report) -> bool {
         let Some(cell) = &mut self.cell else { return false };
         if cell.report(now, report) != ReportStatus::Accepted {
@@ -160,7 +166,8 @@
         self.pending_reports.get(agent) == Some(&(incarnation, sequence))
     }
 
-    /// Answers the open report of an agent.
+    /// Answers the agent's report that waits for an answer. Returns the agent's incarnation and the
+    /// orders; `None` if no report waits or the owner has stopped.
     pub fn answer(
         &mut self,
         now: Time,
@@ -173,7 +180,7 @@
         Some((incarnation, orders))
     }
 
-    /// Tells whether the agent's open report has to be answered at once.
+    /// Tells whether the agent's report that waits for an answer has to be answered at once.
     pub fn has_orders(&self, now: Time, agent: &str) -> bool {
         self.cell.as_ref().is_some_and(|cell| cell.has_orders(now, agent))
     }
