--- a/crates/hosted/src/agent.rs
+++ b/crates/hosted/src/agent.rs
@@ -22,7 +22,7 @@
 /// Capacity of the agent's event queue.
 const EVENT_CAPACITY: usize = 1_024;
 
-/// Message from the worker about itself.
+/// Message that the worker sends to its agent about itself.
 #[derive(Debug)]
 pub enum Heartbeat {
     /// The worker's description. `sequence` rises with each report.
@@ -192,7 +192,7 @@
                 return;
             }
         }
-        runtime::sleep(directory::search_delay()).await;
+        runtime::sleep(directory::owner_search_delay()).await;
     }
 }
 
--- a/crates/hosted/src/connection.rs
+++ b/crates/hosted/src/connection.rs
@@ -20,9 +20,11 @@
 const OUTBOX_CAPACITY: usize = 8_192;
 /// Maximum number of bytes read by one system call.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
+/// Timeout of opening a TCP connection to a peer.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
-/// Size at which a batch of messages is written without waiting for more.
+/// Size at which no more queued messages are added to a write on the connection.
 const MAX_WRITE_BYTES: usize = 64 * 1024;
+/// Timeout of one write on a connection, after which the connection is closed.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Queue of messages that a connection's writer task sends. Dropping it closes the connection.
@@ -104,6 +106,7 @@
 }
 
 impl MessageReader {
+    /// Creates a reader of `stream`; `peer` names the other side in errors.
     pub(crate) fn new(stream: TcpStream, peer: String) -> Self {
         MessageReader { stream, peer, buffer: BytesMut::new() }
     }
--- a/crates/hosted/src/directory.rs
+++ b/crates/hosted/src/directory.rs
@@ -9,7 +9,8 @@
 
 /// Delay between two searches for the owner, without jitter.
 const SEARCH_INTERVAL: Duration = Duration::from_millis(250);
-/// Maximum random addition to the delay, so that processes do not search at the same time.
+/// Upper bound of the random addition to [`SEARCH_INTERVAL`], in milliseconds, so that processes do
+/// not search at the same time.
 const SEARCH_JITTER_MS: u64 = 100;
 
 /// Known entries, which are asked in turn for the owner while the store does not answer.
@@ -21,12 +22,12 @@
 }
 
 impl Directory {
-    /// Adds entries that other processes reported.
+    /// Adds the addresses of entries that other processes reported.
     pub(crate) fn add(&mut self, entries: impl IntoIterator<Item = SocketAddr>) {
         self.entries.extend(entries);
     }
 
-    /// Returns the next entry to ask; `None` if no entry is known.
+    /// Returns the address of the next entry to ask for the owner; `None` if no entry is known.
     pub(crate) fn next_entry(&mut self) -> Option<SocketAddr> {
         let count = self.entries.len();
         self.attempts += 1;
@@ -59,7 +60,7 @@
     }
 }
 
-/// Returns the delay before the next search, with jitter.
-pub(crate) fn search_delay() -> Duration {
+/// Returns the delay before the next search for the owner, with jitter.
+pub(crate) fn owner_search_delay() -> Duration {
     SEARCH_INTERVAL + Duration::from_millis(fastrand::u64(0..SEARCH_JITTER_MS))
 }
--- a/crates/hosted/src/election.rs
+++ b/crates/hosted/src/election.rs
@@ -21,8 +21,8 @@
 /// Maximum random addition to the delay before a claim.
 const CLAIM_JITTER_MS: u64 = 40;
 
-/// Runs the election on one entry until the shutdown. After `retiring` is set, the entry gives up
-/// the ownership and does not claim it again.
+/// Takes part in the election of the owner until the shutdown. After `retiring` is set, this entry
+/// process gives up the ownership and does not claim it again.
 pub(crate) async fn run<S: Store>(entry: Arc<Entry<S>>, retiring: Shutdown, shutdown: Shutdown) {
     let mut directory = Directory::default();
     while !shutdown.is_set() {
@@ -32,13 +32,13 @@
                 tracing::info!(event = "lock_of_own_node", is_current = lock.boot == boot);
                 claim(&entry, revision, &mut directory, &retiring).await;
                 if retiring.is_set() {
-                    runtime::sleep_or_shutdown(directory::search_delay(), &shutdown).await;
+                    runtime::sleep_or_shutdown(directory::owner_search_delay(), &shutdown).await;
                 }
             }
             Ok(Some((lock, _))) => {
                 let reason = follow(&entry, lock.address, &mut directory, &shutdown).await;
                 tracing::info!(event = "owner_lost", owner = lock.node, reason = %reason);
-                runtime::sleep_or_shutdown(directory::search_delay(), &shutdown).await;
+                runtime::sleep_or_shutdown(directory::owner_search_delay(), &shutdown).await;
             }
             Ok(None) => {
                 let delay =
@@ -56,7 +56,7 @@
                         follow(&entry, owner, &mut directory, &shutdown).await;
                     }
                 }
-                runtime::sleep_or_shutdown(directory::search_delay(), &shutdown).await;
+                runtime::sleep_or_shutdown(directory::owner_search_delay(), &shutdown).await;
             }
         }
     }
@@ -107,7 +107,7 @@
         Ok(None) => return,
         Err(error) => {
             tracing::warn!(event = "claim_failed", %error);
-            runtime::sleep(directory::search_delay()).await;
+            runtime::sleep(directory::owner_search_delay()).await;
             return;
         }
     };
--- a/crates/hosted/src/entry.rs
+++ b/crates/hosted/src/entry.rs
@@ -46,11 +46,13 @@
 /// Settings of an entry.
 #[derive(Debug, Clone)]
 pub struct EntrySettings {
+    /// Name of the node on which the entry runs.
     pub node: String,
     /// Address for agents and other entries.
     pub internal: SocketAddr,
     /// CPU share of the process, in cores.
     pub cores: f64,
+    /// Settings of the owner's state machine, used if this entry is elected.
     pub owner: OwnerSettings,
 }
 
@@ -68,6 +70,7 @@
 /// Answer to a request for the phase of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StateAnswer {
+    /// Current phase of the job.
     Known(Phase),
     /// No such job is stored.
     Unknown,
@@ -75,13 +78,16 @@
     NoAnswer,
 }
 
-/// An entry process.
+/// An entry process, which accepts jobs from callers and may be elected as the owner.
 #[derive(Debug)]
 pub struct Entry<S> {
     pub(crate) store: S,
+    /// Identity that the lock names while this entry is the owner.
     pub(crate) identity: Identity,
     pub(crate) owner_settings: OwnerSettings,
+    /// CPU share of the process, in cores.
     pub(crate) cores: f64,
+    /// Routes of the last configuration read; `None` before the first.
     routes: RwLock<Option<Arc<Routes>>>,
     /// Role of this entry, and the address of the owner if it is known.
     role: Mutex<(Role, Option<SocketAddr>)>,
@@ -143,6 +149,7 @@
         self.role.lock().clone()
     }
 
+    /// Sets the role of this entry, and the address of the owner if it is known.
     pub(crate) fn set_role(&self, role: Role, owner: Option<SocketAddr>) {
         *self.role.lock() = (role, owner);
     }
@@ -152,7 +159,7 @@
         self.routes.read().clone()
     }
 
-    /// Watches the configuration and applies its changes.
+    /// Watches the configuration, which contains the routes, and applies its changes.
     async fn follow_routes(&self) {
         let mut after: Option<Revision> = None;
         let key = self.store.routes_key();
@@ -273,7 +280,7 @@
         outcome
     }
 
-    /// Writes a job to the store, with retries while the outcome is unclear.
+    /// Writes a job to the store. Retries while it is unknown whether the write was applied.
     pub(crate) async fn store_job(&self, job: JobNumber, record: Bytes) -> Stored {
         let write = Write {
             expect: vec![(records::job_key(job), 0), (records::progress_key(job), 0)],
--- a/crates/hosted/src/owner_service.rs
+++ b/crates/hosted/src/owner_service.rs
@@ -25,6 +25,7 @@
 #[derive(Debug)]
 pub(crate) struct OwnerService {
     owner: Mutex<Owner>,
+    /// Outboxes of the connected agents by session.
     outboxes: Mutex<HashMap<Session, Outbox<OwnerMessage>>>,
     /// This entry and the entries that are connected to it.
     entries: Mutex<BTreeSet<SocketAddr>>,
@@ -41,6 +42,7 @@
 }
 
 impl OwnerService {
+    /// Creates the service of the owner on the entry at `address`, with no agent connected.
     pub(crate) fn new(owner: Owner, address: SocketAddr) -> Self {
         let (commit_trigger, commit_requests) = async_channel::bounded(1);
         let (end, ended) = peridotfold_wire::shutdown::channel();
@@ -95,7 +97,7 @@
         read(&self.owner.lock(), runtime::now())
     }
 
-    /// Fills the connected entries into a pong.
+    /// Adds the addresses of the connected entries to a pong; returns other messages unchanged.
     fn with_entries(&self, message: OwnerMessage) -> OwnerMessage {
         match message {
             OwnerMessage::Pong { sent, permission, weights, .. } => {
@@ -142,7 +144,7 @@
         }
     }
 
-    /// Closes the session of an agent.
+    /// Closes the session of an agent; `slot` is the index of its node in the owner's table.
     pub(crate) fn close_session(&self, slot: Slot, session: Session) {
         self.outboxes.lock().remove(&session);
         self.update(|owner, _| owner.disconnect(slot, session));
--- a/crates/hosted/src/ownership.rs
+++ b/crates/hosted/src/ownership.rs
@@ -41,6 +41,7 @@
 /// Identity of this process in the lock.
 #[derive(Debug, Clone)]
 pub(crate) struct Identity {
+    /// Name of the node on which the process runs.
     pub(crate) node: String,
     /// Random number that tells processes on one node apart.
     pub(crate) boot: u64,
@@ -51,8 +52,11 @@
 /// The fence as of its last known write, and the lease of the lock.
 #[derive(Debug)]
 struct FenceState {
+    /// Value of the fence.
     fence: Fence,
+    /// Revision of the fence in the store.
     revision: Revision,
+    /// Lease of the lock.
     lease: LeaseId,
 }
 
--- a/crates/hosted/src/ports.rs
+++ b/crates/hosted/src/ports.rs
@@ -39,12 +39,14 @@
 pub struct Item {
     pub key: String,
     pub value: Bytes,
+    /// Revision of the last write of the key.
     pub revision: Revision,
 }
 
 /// A change to a watched key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Change {
+    /// The item that was written.
     Written(Item),
     /// The key that was removed.
     Removed(String),
--- a/crates/hosted/src/records.rs
+++ b/crates/hosted/src/records.rs
@@ -19,7 +19,8 @@
 /// Key that names the owner, bound to the owner's lease. It has the inbox prefix, so that an owner
 /// that lost its lock sees the lock of its successor before any job that is accepted later.
 pub const LOCK: &str = "in/owner";
-/// Key of the fence, which counts the writes of the owner.
+/// Key of the fence. Each write of the owner's records is conditional on the revision of the fence
+/// and replaces its value, so that a write of a former owner fails.
 pub const FENCE: &str = "own/fence";
 /// Key of the list of nodes whose agents may hold a permission to run tasks.
 pub const ROSTER: &str = "own/roster";
@@ -68,6 +69,7 @@
 /// Value of the lock: the process that owns the scheduling of jobs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lock {
+    /// Name of the node on which the process runs.
     pub node: String,
     /// Random number that tells processes on one node apart.
     pub boot: u64,
--- a/crates/hosted/src/sessions.rs
+++ b/crates/hosted/src/sessions.rs
@@ -19,7 +19,7 @@
 /// Time without a message after which a peer is taken as lost. Peers send a ping at least every
 /// second.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(3_500);
-/// Timeout of the first message on a connection.
+/// Maximum time to wait for the greeting, the first message on a connection.
 const GREETING_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Serves one connection. Redirects the client if this entry is not the owner.
--- a/crates/hosted/tests/suite/entry.rs
+++ b/crates/hosted/tests/suite/entry.rs
@@ -11,9 +11,12 @@
 
 use crate::support::{settings, spec, MemoryStore};
 
+/// Number of the job under test.
 const JOB: u64 = 7;
-const LIMIT: Duration = Duration::from_secs(1);
+/// Timeout of each submission and cancellation.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
+/// Creates an entry on the given store, without starting it.
 fn entry(store: &MemoryStore) -> Entry<MemoryStore> {
     let internal = SocketAddr::from(([127, 0, 0, 1], 1));
     Entry::new(settings("front", internal), store.clone())
@@ -37,7 +40,7 @@
         let store = MemoryStore::default();
         let entry = entry(&store);
         smol::block_on(async {
-            assert_eq!(entry.submit(JOB, &spec(), LIMIT).await, Stored::Yes);
+            assert_eq!(entry.submit(JOB, &spec(), CALL_TIMEOUT).await, Stored::Yes);
             store.write_after_reads(reads, end());
             let answer = entry.state(JOB).await;
             assert_ne!(answer, StateAnswer::Unknown, "end after {reads} reads");
@@ -51,10 +54,10 @@
     let store = MemoryStore::default();
     let entry = entry(&store);
     smol::block_on(async {
-        assert_eq!(entry.submit(JOB, &spec(), LIMIT).await, Stored::Yes);
-        assert_eq!(entry.submit(JOB, &spec(), LIMIT).await, Stored::Yes);
+        assert_eq!(entry.submit(JOB, &spec(), CALL_TIMEOUT).await, Stored::Yes);
+        assert_eq!(entry.submit(JOB, &spec(), CALL_TIMEOUT).await, Stored::Yes);
         store.write(&end()).await.unwrap();
-        assert_eq!(entry.submit(JOB, &spec(), LIMIT).await, Stored::Yes);
+        assert_eq!(entry.submit(JOB, &spec(), CALL_TIMEOUT).await, Stored::Yes);
         assert!(
             store.get(&records::job_key(JOB)).await.unwrap().is_none(),
             "the job would run again"
@@ -73,7 +76,7 @@
         smol::block_on(async {
             store.lose_answers(1, is_applied);
             assert_eq!(
-                entry.submit(JOB, &spec(), LIMIT).await,
+                entry.submit(JOB, &spec(), CALL_TIMEOUT).await,
                 Stored::Yes,
                 "resolved by a repeat"
             );
@@ -91,9 +94,9 @@
     let entry = entry(&store);
     smol::block_on(async {
         store.refuse(true);
-        assert_eq!(entry.submit(JOB, &spec(), LIMIT).await, Stored::No);
+        assert_eq!(entry.submit(JOB, &spec(), CALL_TIMEOUT).await, Stored::No);
         let writes = store.writes();
-        assert_eq!(entry.submit(JOB, &spec(), LIMIT).await, Stored::No);
+        assert_eq!(entry.submit(JOB, &spec(), CALL_TIMEOUT).await, Stored::No);
         assert_eq!(store.writes(), writes);
         assert!(entry.retry_after() >= Duration::from_secs(1));
     });
@@ -106,9 +109,9 @@
     let store = MemoryStore::default();
     let entry = entry(&store);
     smol::block_on(async {
-        assert_eq!(entry.cancel(JOB, LIMIT).await, Stored::Unknown);
-        entry.submit(JOB, &spec(), LIMIT).await;
-        assert_eq!(entry.cancel(JOB, LIMIT).await, Stored::Yes);
+        assert_eq!(entry.cancel(JOB, CALL_TIMEOUT).await, Stored::Unknown);
+        entry.submit(JOB, &spec(), CALL_TIMEOUT).await;
+        assert_eq!(entry.cancel(JOB, CALL_TIMEOUT).await, Stored::Yes);
         assert!(store.get(&records::cancel_key(JOB)).await.unwrap().is_some());
     });
 }
--- a/crates/hosted/tests/suite/support.rs
+++ b/crates/hosted/tests/suite/support.rs
@@ -23,8 +23,9 @@
 struct Table {
     items: BTreeMap<String, Item>,
     revision: Revision,
+    /// Number of writes so far, including refused ones.
     writes: u32,
-    /// Number of next writes whose answers are lost.
+    /// Number of coming writes whose answers are lost.
     lost_answers: u32,
     /// Whether writes with lost answers are applied.
     lost_applied: bool,
