--- a/crates/hosted/src/election.rs
+++ b/crates/hosted/src/election.rs
@@ -13,12 +13,12 @@
 use crate::ownership::Ownership;
 use crate::ports::{Revision, Store};
 
-/// Delay before a claim by an entry with one core. The delay is inversely proportional to the
-/// cores, so that entries with more CPU claim first.
+/// Delay before a claim by an entry with one core, in milliseconds. The delay is inversely
+/// proportional to the cores, so that entries with more CPU claim first.
 const ONE_CORE_DELAY_MS: f64 = 20.0;
 /// Upper bound on the delay before a claim, without jitter.
 const MAX_CLAIM_DELAY: Duration = Duration::from_millis(500);
-/// Maximum random addition to the delay before a claim.
+/// Upper bound of the random addition to the delay before a claim, in milliseconds.
 const CLAIM_JITTER_MS: u64 = 40;
 
 /// Takes part in the election of the owner until the shutdown. After `retiring` is set, this entry
--- a/crates/hosted/src/ownership.rs
+++ b/crates/hosted/src/ownership.rs
@@ -31,7 +31,8 @@
 /// Maximum number of attempts to delete the lock. At most one write is in progress when the process
 /// is told to stop.
 const MAX_RELEASE_ATTEMPTS: u32 = 3;
-/// Delay before a failed call to the store is retried; the first delay where it grows.
+/// Delay before a failed call to the store is retried. For a write of the owner's records, each
+/// further delay doubles, up to [`MAX_RETRY_DELAY`].
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Maximum delay between two attempts of a write while the store does not answer.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(400);
--- a/crates/hosted/src/ports.rs
+++ b/crates/hosted/src/ports.rs
@@ -129,8 +129,8 @@
 /// Answer to a call to the worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WorkerAnswer {
-    /// Runs and ends, by the worker's clock in milliseconds. `token` is the fencing token of the
-    /// call.
+    /// The worker's running tasks and the ends of its runs. `clock` is the worker's clock in
+    /// milliseconds, `token` the fencing token of the call.
     Listed { token: Token, clock: u64, running: Vec<Running>, ends: Vec<End> },
     /// Outcome of any other call, or of a listing that failed.
     Other(Outcome),
--- a/crates/hosted/src/records.rs
+++ b/crates/hosted/src/records.rs
@@ -8,13 +8,13 @@
 
 use peridotfold_core::flow::model::JobNumber;
 
-/// Prefix of accepted jobs, cancellations and the lock, which the owner watches.
+/// Prefix of the keys that the owner watches: accepted jobs, cancellations and the lock.
 pub const INBOX_PREFIX: &str = "in/";
 /// Prefix of the keys of accepted jobs.
 const JOB_PREFIX: &str = "in/j/";
 /// Prefix of the keys of cancellations.
 const CANCEL_PREFIX: &str = "in/x/";
-/// Prefix of the progress records of jobs.
+/// Prefix of the keys of the jobs' progress records.
 pub const PROGRESS_PREFIX: &str = "st/";
 /// Key that names the owner, bound to the owner's lease. It has the inbox prefix, so that an owner
 /// that lost its lock sees the lock of its successor before any job that is accepted later.
