--- a/crates/hosted/src/ownership.rs
+++ b/crates/hosted/src/ownership.rs
@@ -31,7 +31,8 @@
 /// Maximum number of attempts to delete the lock. At most one write is in progress when the process
 /// is told to stop.
 const MAX_RELEASE_ATTEMPTS: u32 = 3;
-/// Delay before a failed call to the store is retried; the first delay where it grows.
+/// Delay before a failed call to the store is retried. For a write of the owner's records, each
+/// further delay doubles, up to [`MAX_RETRY_DELAY`].
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Maximum delay between two attempts of a write while the store does not answer.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(400);
@@ -41,6 +42,7 @@
 /// Identity of this process in the lock.
 #[derive(Debug, Clone)]
 pub(crate) struct Identity {
+    /// Name of the node on which the process runs.
     pub(crate) node: String,
     /// Random number that tells processes on one node apart.
     pub(crate) boot: u64,
@@ -51,8 +53,11 @@
 /// The fence as of its last known write, and the lease of the lock.
 #[derive(Debug)]
 struct FenceState {
+    /// Value of the fence.
     fence: Fence,
+    /// Revision of the fence in the store.
     revision: Revision,
+    /// Lease of the lock.
     lease: LeaseId,
 }
 
--- a/crates/hosted/src/records.rs
+++ b/crates/hosted/src/records.rs
@@ -8,18 +8,19 @@
 
 use peridotfold_core::flow::model::JobNumber;
 
-/// Prefix of accepted jobs, cancellations and the lock, which the owner watches.
+/// Prefix of the keys that the owner watches: accepted jobs, cancellations and the lock.
 pub const INBOX_PREFIX: &str = "in/";
 /// Prefix of the keys of accepted jobs.
 const JOB_PREFIX: &str = "in/j/";
 /// Prefix of the keys of cancellations.
 const CANCEL_PREFIX: &str = "in/x/";
-/// Prefix of the progress records of jobs.
+/// Prefix of the keys of the jobs' progress records.
 pub const PROGRESS_PREFIX: &str = "st/";
 /// Key that names the owner, bound to the owner's lease. It has the inbox prefix, so that an owner
 /// that lost its lock sees the lock of its successor before any job that is accepted later.
 pub const LOCK: &str = "in/owner";
-/// Key of the fence, which counts the writes of the owner.
+/// Key of the fence. Each write of the owner's records is conditional on the revision of the fence
+/// and replaces its value, so that a write of a former owner fails.
 pub const FENCE: &str = "own/fence";
 /// Key of the list of nodes whose agents may hold a permission to run tasks.
 pub const ROSTER: &str = "own/roster";
@@ -68,6 +69,7 @@
 /// Value of the lock: the process that owns the scheduling of jobs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lock {
+    /// Name of the node on which the process runs.
     pub node: String,
     /// Random number that tells processes on one node apart.
     pub boot: u64,
