--- a/crates/store/src/http.rs
+++ b/crates/store/src/http.rs
@@ -19,6 +19,7 @@
 pub struct HttpStore {
     client: HttpClient,
     address: SocketAddr,
+    /// Time limit of each call. A watch takes its wait time on top.
     timeout: Duration,
 }
 
--- a/crates/store/src/journal.rs
+++ b/crates/store/src/journal.rs
@@ -27,10 +27,11 @@
 
 /// Log size in bytes above which the log is rotated. Each append rewrites the whole log.
 pub const MAX_LOG_BYTES: usize = 32 * 1024;
-/// Maximum number of writes to commit or resolve one append before its outcome is left unknown.
+/// Maximum number of attempts to commit one append, or to find out whether it was committed, before
+/// its outcome is left unknown.
 const MAX_ATTEMPTS: usize = 3;
-/// Maximum number of batch IDs in a snapshot. They resolve appends whose response was lost before
-/// a rotation.
+/// Maximum number of batch IDs in a snapshot. With them a writer finds out whether an append was
+/// committed whose response was lost before a rotation.
 const MAX_BATCH_IDS: usize = 256;
 
 /// A state that is the result of applying records in order.
@@ -107,7 +108,9 @@
     writer: u64,
     /// Number of the last batch of this writer.
     number: u64,
+    /// Whether a rotation archives the replaced log.
     is_archived: bool,
+    /// State after the replay of all records up to `sequence`.
     state: R,
     /// Sequence number of the last record in `state`.
     sequence: u64,
--- a/crates/store/src/journal/archive.rs
+++ b/crates/store/src/journal/archive.rs
@@ -6,10 +6,10 @@
 use crate::journal::{JournalError, Replay};
 use crate::{PutOutcome, Store, StoreError, Versioned, MAX_VALUE_BYTES};
 
-/// Maximum number of writes of one snapshot or segment.
+/// Maximum number of attempts to write one snapshot or segment.
 const MAX_ATTEMPTS: usize = 4;
-/// Maximum number of reads of log and snapshot before the reader gives up. A read is repeated when
-/// a rotation takes place between log and snapshot.
+/// Maximum number of attempts to read the log and the snapshot as a consistent pair. An attempt is
+/// repeated when a rotation takes place between its two reads.
 const MAX_READS: usize = 8;
 /// Number of archived segments to keep. At 32 KB each they last about three days with 20,000 changes
 /// of 500 bytes a day.
--- a/crates/store/src/journal/format.rs
+++ b/crates/store/src/journal/format.rs
@@ -12,6 +12,7 @@
 /// Records committed by one append.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Batch {
+    /// ID of the writer that appended the batch.
     pub writer: u64,
     /// Number of the batch among those of its writer.
     pub number: u64,
@@ -23,6 +24,7 @@
 /// of its first record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct BatchId {
+    /// Sequence number of the first record of the batch.
     pub first: u64,
     pub writer: u64,
     pub number: u64,
@@ -67,6 +69,7 @@
 /// Value of `<name>/snap`: the state after the record with the number `sequence`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Snapshot {
+    /// Sequence number of the last record in `state`.
     pub sequence: u64,
     /// Encoded state; empty for the default state.
     pub state: Bytes,
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -23,6 +23,7 @@
 /// deleted.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Versioned {
+    /// Store version of the value.
     pub version: u64,
     pub value: Bytes,
 }
@@ -43,6 +44,7 @@
     pub step: Step,
     /// Address of the store.
     pub peer: String,
+    /// Description of the failure.
     pub detail: String,
 }
 
--- a/crates/store/tests/suite/faults.rs
+++ b/crates/store/tests/suite/faults.rs
@@ -35,13 +35,15 @@
 pub struct Script {
     /// Faults by the number of the write, from 0.
     faults: HashMap<usize, Fault>,
+    /// Number of writes so far.
     puts: usize,
-    /// Number of the next reads that fail.
+    /// Number of further reads that fail, starting with the next one.
     failing_gets: usize,
-    /// Number of reads that fail after the next faulty write.
+    /// Number of reads that fail after the next write with a fault.
     gets_to_fail: usize,
     /// Writes with [`Fault::Delayed`] that have not taken effect: key, expected version and value.
     delayed_puts: Vec<(String, u64, Bytes)>,
+    /// Outcomes of the delayed writes that have reached the store, in order.
     delayed_outcomes: Vec<PutOutcome>,
     /// Signals indexed by [`CRASHED`], [`PAUSED`] and [`RELEASED`].
     signals: [(Trigger, Shutdown); 3],
@@ -54,11 +56,11 @@
     script: Arc<Mutex<Script>>,
 }
 
-/// Index of the signal that the writer crashed.
+/// Index in `Script::signals` of the signal fired when the writer crashes.
 const CRASHED: usize = 0;
-/// Index of the signal that a write is paused.
+/// Index in `Script::signals` of the signal fired when a write is paused.
 const PAUSED: usize = 1;
-/// Index of the signal that a paused write may continue.
+/// Index in `Script::signals` of the signal fired to let a paused write continue.
 const RELEASED: usize = 2;
 
 impl ScriptedStore {
@@ -124,11 +126,13 @@
         self.script.lock().delayed_outcomes.clone()
     }
 
+    /// Waits until the signal with this index is fired.
     async fn wait(&self, signal: usize) {
         let signal = self.script.lock().signals[signal].1.clone();
         signal.wait().await;
     }
 
+    /// Fires the signal with this index.
     fn fire(&self, signal: usize) {
         self.script.lock().signals[signal].0.fire();
     }
--- a/crates/store/tests/suite/repository.rs
+++ b/crates/store/tests/suite/repository.rs
@@ -20,7 +20,8 @@
     json!({"cells": {cell: {"data_centre": "brno"}, absent: null}}).to_string().into()
 }
 
-/// Returns the names of the cells in an encoded document.
+/// Returns the names of the cells (sets of workers in one data centre) in an encoded configuration
+/// document.
 pub fn cells(document: &[u8]) -> Vec<String> {
     decode_document(document).unwrap().cells.into_keys().collect()
 }
--- a/crates/wire/src/body.rs
+++ b/crates/wire/src/body.rs
@@ -32,6 +32,7 @@
 #[derive(Debug)]
 pub struct BodySender {
     sender: Sender<Result<Bytes, BodyTruncated>>,
+    /// Whether [`BodySender::finish`] has marked the body as complete.
     finished: bool,
 }
 
@@ -49,9 +50,9 @@
 
     /// Builds a body that is streamed in parts, and its sender.
     pub fn parts() -> (BodySender, Self) {
-        const PARTS_BUFFERED: usize = 4;
+        const MAX_BUFFERED_PARTS: usize = 4;
         // Once the buffer is full, the sender waits. A truncation needs no free slot: see `Drop`.
-        let (sender, receiver) = async_channel::bounded(PARTS_BUFFERED);
+        let (sender, receiver) = async_channel::bounded(MAX_BUFFERED_PARTS);
         (BodySender { sender, finished: false }, Body::Parts(Box::pin(receiver)))
     }
 }
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -33,6 +33,7 @@
     pub step: Step,
     /// Address of the other process.
     pub peer: String,
+    /// Description of the failure.
     pub detail: String,
 }
 
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -6,7 +6,8 @@
 
 /// Maximum size of a frame in bytes, without its prefix, for sending and receiving.
 pub const MAX_FRAME_BYTES: usize = 1024 * 1024 + 64 * 1024;
-const PREFIX_BYTES: usize = 4;
+/// Size of the length prefix of a frame.
+const LENGTH_PREFIX_BYTES: usize = 4;
 
 /// Encodes `message` as one frame.
 ///
@@ -19,7 +20,7 @@
     if body.len() > MAX_FRAME_BYTES {
         return Err(format!("frame of {} bytes exceeds {MAX_FRAME_BYTES}", body.len()));
     }
-    let mut frame = BytesMut::with_capacity(PREFIX_BYTES + body.len());
+    let mut frame = BytesMut::with_capacity(LENGTH_PREFIX_BYTES + body.len());
     frame.put_u32_le(body.len() as u32);
     frame.put_slice(&body);
     Ok(frame.freeze())
@@ -32,17 +33,17 @@
 ///
 /// Fails when the frame exceeds [`MAX_FRAME_BYTES`], has trailing bytes, or does not decode to a `T`.
 pub fn decode<T: DeserializeOwned>(buffer: &mut BytesMut) -> Result<Option<T>, String> {
-    if buffer.len() < PREFIX_BYTES {
+    if buffer.len() < LENGTH_PREFIX_BYTES {
         return Ok(None);
     }
-    let length = (&buffer[..PREFIX_BYTES]).get_u32_le() as usize;
+    let length = (&buffer[..LENGTH_PREFIX_BYTES]).get_u32_le() as usize;
     if length > MAX_FRAME_BYTES {
         return Err(format!("frame of {length} bytes exceeds {MAX_FRAME_BYTES}"));
     }
-    if buffer.len() < PREFIX_BYTES + length {
+    if buffer.len() < LENGTH_PREFIX_BYTES + length {
         return Ok(None);
     }
-    buffer.advance(PREFIX_BYTES);
+    buffer.advance(LENGTH_PREFIX_BYTES);
     let body = buffer.split_to(length);
     let config = bincode::config::standard().with_limit::<MAX_FRAME_BYTES>();
     let (message, used) =
--- a/crates/wire/src/http_client.rs
+++ b/crates/wire/src/http_client.rs
@@ -32,6 +32,7 @@
 /// Client with a pool of HTTP/1.1 connections. Clones share the pool.
 #[derive(Debug, Clone, Default)]
 pub struct HttpClient {
+    /// Idle connections by the address of their server.
     idle: Arc<Mutex<HashMap<SocketAddr, Vec<SendRequest<Body>>>>>,
 }
 
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -203,6 +203,7 @@
 #[derive(Debug)]
 pub struct FrameSender {
     stream: SendStream<Bytes>,
+    /// Address of the peer, for errors.
     peer: String,
 }
 
@@ -274,7 +275,9 @@
 #[derive(Debug)]
 pub struct FrameReceiver {
     stream: RecvStream,
+    /// Received data that has not been decoded yet.
     buffer: BytesMut,
+    /// Address of the peer, for errors.
     peer: String,
 }
 
--- a/crates/wire/src/runtime.rs
+++ b/crates/wire/src/runtime.rs
@@ -14,8 +14,9 @@
 
 /// Executor of all tasks in the process.
 static EXECUTOR: Executor<'static> = Executor::new();
-/// Time of the first call of [`now`], on the boot-time clock.
-static PROCESS_START: OnceLock<Duration> = OnceLock::new();
+/// Time from the boot of the machine to the first call of [`now`], which is the zero point of its
+/// results.
+static START_SINCE_BOOT: OnceLock<Duration> = OnceLock::new();
 
 /// Starts a pool of `threads` threads, runs `main` on the calling thread and returns its result.
 pub fn run<T>(threads: usize, main: impl Future<Output = T>) -> T {
@@ -45,7 +46,7 @@
 pub fn now() -> Duration {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     let time = Duration::new(time.tv_sec as u64, time.tv_nsec as u32);
-    time.saturating_sub(*PROCESS_START.get_or_init(|| time))
+    time.saturating_sub(*START_SINCE_BOOT.get_or_init(|| time))
 }
 
 /// Waits for `duration`.
--- a/crates/wire/tests/http_client.rs
+++ b/crates/wire/tests/http_client.rs
@@ -15,7 +15,7 @@
 use peridotfold_wire::{runtime, shutdown};
 
 /// Time limit of each request.
-const LIMIT: Duration = Duration::from_secs(10);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Responds with the path of the request. The body of `/slow` stays open until the test ends it.
 #[derive(Default)]
@@ -54,7 +54,7 @@
         let request = Request::get("/slow").body(Body::empty()).expect("a request");
         let slow = client.send(address, request).await.expect("a head");
         for path in ["/a", "/b"] {
-            let answer = client.simple(address, Method::GET, path, "", LIMIT).await;
+            let answer = client.simple(address, Method::GET, path, "", REQUEST_TIMEOUT).await;
             assert_eq!(answer.expect("an answer").body(), path);
         }
         let mut sender = pages.slow.lock().take().expect("the slow body");
--- a/crates/wire/tests/http_server.rs
+++ b/crates/wire/tests/http_server.rs
@@ -16,17 +16,17 @@
 
 /// Number of shutdowns with pooled connections.
 const ROUNDS: usize = 30;
-/// Number of rounds at the same time. In each round the clients wait one second until their last
+/// Number of rounds that run at the same time. In each round the clients wait one second until their last
 /// connection is refused.
-const PARALLEL: usize = 10;
+const CONCURRENT_ROUNDS: usize = 10;
 /// Number of shutdowns with a new connection for each request.
 const CONNECTING_ROUNDS: usize = 10;
 /// Number of concurrent clients in each round.
 const CLIENTS: usize = 16;
-/// Time limit for a new connection.
-const CONNECT_LIMIT: Duration = Duration::from_millis(200);
+/// Time limit to establish a TCP connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 /// Time limit of each request.
-const LIMIT: Duration = Duration::from_secs(10);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Service with the same response to all requests.
 struct Pages;
@@ -40,7 +40,7 @@
 /// Sends requests until one fails, and returns its error.
 async fn send_all(client: HttpClient, address: SocketAddr) -> WireError {
     loop {
-        if let Err(error) = client.simple(address, Method::GET, "/", "", LIMIT).await {
+        if let Err(error) = client.simple(address, Method::GET, "/", "", REQUEST_TIMEOUT).await {
             return error;
         }
     }
@@ -57,7 +57,7 @@
     let client = HttpClient::default();
     let clients: Vec<_> =
         (0..CLIENTS).map(|_| runtime::spawn(send_all(client.clone(), address))).collect();
-    client.simple(address, Method::GET, "/", "", LIMIT).await.expect("an answer");
+    client.simple(address, Method::GET, "/", "", REQUEST_TIMEOUT).await.expect("an answer");
     trigger.fire();
     let mut truncated = Vec::new();
     for sender in clients {
@@ -78,9 +78,10 @@
     runtime::start_threads(4);
     smol::block_on(async {
         let mut truncated = Vec::new();
-        for _ in 0..ROUNDS / PARALLEL {
-            let rounds: Vec<_> =
-                (0..PARALLEL).map(|_| runtime::spawn(requests_cut_by_shutdown())).collect();
+        for _ in 0..ROUNDS / CONCURRENT_ROUNDS {
+            let rounds: Vec<_> = (0..CONCURRENT_ROUNDS)
+                .map(|_| runtime::spawn(requests_cut_by_shutdown()))
+                .collect();
             for round in rounds {
                 truncated.extend(round.await);
             }
@@ -98,7 +99,7 @@
 /// established connections that received no response.
 fn unanswered(address: SocketAddr) -> usize {
     let mut count = 0;
-    while let Ok(mut stream) = TcpStream::connect_timeout(&address, CONNECT_LIMIT) {
+    while let Ok(mut stream) = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT) {
         let request = b"GET / HTTP/1.1\r\nhost: pages\r\nconnection: close\r\n\r\n";
         let mut answer = Vec::new();
         let whole = stream.write_all(request).and_then(|()| stream.read_to_end(&mut answer));
@@ -124,7 +125,7 @@
             let callers: Vec<_> =
                 (0..CLIENTS).map(|_| std::thread::spawn(move || unanswered(address))).collect();
             HttpClient::default()
-                .simple(address, Method::GET, "/", "", LIMIT)
+                .simple(address, Method::GET, "/", "", REQUEST_TIMEOUT)
                 .await
                 .expect("an answer");
             trigger.fire();
