--- a/crates/store/src/http.rs
+++ b/crates/store/src/http.rs
@@ -26,6 +26,7 @@
 /// JSON body of a response to a put.
 #[derive(Deserialize)]
 struct PutResponse {
+    /// New version of the value, or the current one after a conflict.
     version: u64,
 }
 
@@ -33,6 +34,7 @@
 #[derive(Deserialize)]
 struct ListEntry {
     key: String,
+    /// Store version of the value.
     version: u64,
     /// Size of the value, in bytes.
     length: usize,
--- a/crates/store/src/journal.rs
+++ b/crates/store/src/journal.rs
@@ -102,7 +102,9 @@
 #[derive(Debug)]
 pub struct Journal<S: Store, R: Replay> {
     store: S,
+    /// Name of the journal, the prefix of its store keys.
     name: String,
+    /// Store key of the log.
     log_key: String,
     /// Unique ID of this writer.
     writer: u64,
@@ -116,9 +118,11 @@
     sequence: u64,
     /// Store version of `log`; 0 if the log does not exist yet.
     log_version: u64,
+    /// Decoded log as last read from the store or written to it.
     log: Log,
     /// IDs of the last batches before the first one of `log`, oldest first.
     recent_batches: Vec<BatchId>,
+    /// The append whose outcome is unknown, if any.
     pending: Option<PendingAppend<R::Record>>,
 }
 
--- a/crates/store/src/journal/format.rs
+++ b/crates/store/src/journal/format.rs
@@ -26,7 +26,9 @@
 pub(crate) struct BatchId {
     /// Sequence number of the first record of the batch.
     pub first: u64,
+    /// ID of the writer that appended the batch.
     pub writer: u64,
+    /// Number of the batch among those of its writer.
     pub number: u64,
 }
 
@@ -35,6 +37,7 @@
 pub(crate) struct Log {
     /// Sequence number of the first record.
     pub first: u64,
+    /// Batches in the order of their commits.
     pub batches: Vec<Batch>,
 }
 
@@ -82,6 +85,7 @@
 /// Value of `<name>/archive/<first>`: an archived log and the encoded state before it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Segment {
+    /// Encoded state before the first record of `log`; empty for the default state.
     pub base_state: Bytes,
     pub log: Log,
 }
--- a/crates/store/src/repository/history.rs
+++ b/crates/store/src/repository/history.rs
@@ -22,13 +22,16 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
     pub author: String,
+    /// Encoded patch of the configuration document.
     pub patch: Bytes,
 }
 
 /// The configuration after `version` records; each record creates one version.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct History {
+    /// Number of the current version.
     pub version: ConfigVersion,
+    /// Configuration document of `version`.
     document: JsonDocument,
     /// The most recent changes, oldest first; the last one created `version`.
     recent: VecDeque<Change>,
--- a/crates/store/tests/suite/journal.rs
+++ b/crates/store/tests/suite/journal.rs
@@ -38,6 +38,7 @@
 /// Number of records that a test appends.
 const RECORDS: u32 = 14;
 
+/// Returns the values of all records that a test appends, in order.
 fn expected() -> Vec<u32> {
     (0..RECORDS).collect()
 }
@@ -239,7 +240,7 @@
         });
         assert!(is_paused.await.unwrap());
         // The caller dropped the append while its write was in flight. A write on the same version
-        // that arrives after the resolution stands for it.
+        // that arrives after the resolution simulates it.
         let held = peridotfold_store::Store::get(&store, "j/log").await.unwrap().unwrap();
         assert!(journal.is_unresolved());
         assert!(!journal.resolve().await.unwrap());
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -34,6 +34,7 @@
 /// Connections to other processes, one for each address. A connection is opened on first use.
 #[derive(Debug, Default)]
 pub struct Peers {
+    /// Open connections by the address of the peer.
     connections: Mutex<HashMap<String, SendRequest<Bytes>>>,
 }
 
@@ -175,6 +176,7 @@
 #[derive(Debug)]
 pub struct PendingReceiver {
     response: h2::client::ResponseFuture,
+    /// Address of the peer, for errors.
     peer: String,
 }
 
--- a/crates/wire/src/server.rs
+++ b/crates/wire/src/server.rs
@@ -47,6 +47,7 @@
 #[derive(Debug)]
 pub struct Responder {
     response: SendResponse<Bytes>,
+    /// Address of the peer, for errors.
     peer: String,
 }
 
