--- a/crates/store/src/http.rs
+++ b/crates/store/src/http.rs
@@ -46,10 +46,12 @@
         HttpStore { client: HttpClient::default(), address, timeout }
     }
 
+    /// Builds an error for a call to this store that failed at `step`.
     fn error(&self, step: Step, detail: impl std::fmt::Display) -> StoreError {
         StoreError::new(step, self.address.to_string(), detail)
     }
 
+    /// Builds an error for a malformed response of this store.
     fn decode_error(&self, detail: impl std::fmt::Display) -> StoreError {
         self.error(Step::Decode, detail)
     }
--- a/crates/store/tests/suite/journal.rs
+++ b/crates/store/tests/suite/journal.rs
@@ -50,6 +50,7 @@
     journal.state().0.clone()
 }
 
+/// Opens the journal "j" with an archive.
 async fn open(store: &ScriptedStore, writer: u64) -> Log<ScriptedStore> {
     Log::open(store.clone(), "j", writer).await.unwrap().with_archive()
 }
--- a/crates/store/tests/suite/racing.rs
+++ b/crates/store/tests/suite/racing.rs
@@ -20,7 +20,7 @@
 const SUBMITTERS: u64 = 4;
 /// Number of patches of each submitter.
 const PATCHES: u32 = 25;
-/// Versions and their documents, as read through some repository.
+/// Configuration versions and their encoded documents, as read through one repository or several.
 type Reads = Vec<(u64, Bytes)>;
 
 /// Results that the submitters received, by the marker of the patch.
--- a/crates/store/tests/suite/repository.rs
+++ b/crates/store/tests/suite/repository.rs
@@ -26,10 +26,12 @@
     decode_document(document).unwrap().cells.into_keys().collect()
 }
 
+/// Opens the repository; `writer` must be unique.
 async fn open(store: &HttpStore, writer: u64) -> ConfigRepository<HttpStore> {
     ConfigRepository::open(store.clone(), writer).await.unwrap()
 }
 
+/// Returns the faults of a stand-in store that is in `mode`.
 fn faults(mode: Mode) -> Faults {
     Faults { mode, ..Faults::default() }
 }
