--- a/crates/store/src/http.rs
+++ b/crates/store/src/http.rs
@@ -19,12 +19,14 @@
 pub struct HttpStore {
     client: HttpClient,
     address: SocketAddr,
+    /// Time limit of each call. A watch takes its wait time on top.
     timeout: Duration,
 }
 
 /// JSON body of a response to a put.
 #[derive(Deserialize)]
 struct PutResponse {
+    /// New version of the value, or the current one after a conflict.
     version: u64,
 }
 
@@ -32,6 +34,7 @@
 #[derive(Deserialize)]
 struct ListEntry {
     key: String,
+    /// Store version of the value.
     version: u64,
     /// Size of the value, in bytes.
     length: usize,
@@ -43,10 +46,12 @@
         HttpStore { client: HttpClient::default(), address, timeout }
     }
 
+    /// Builds an error for a call to this store that failed at `step`.
     fn error(&self, step: Step, detail: impl std::fmt::Display) -> StoreError {
         StoreError::new(step, self.address.to_string(), detail)
     }
 
+    /// Builds an error for a malformed response of this store.
     fn decode_error(&self, detail: impl std::fmt::Display) -> StoreError {
         self.error(Step::Decode, detail)
     }
--- a/crates/store/src/journal.rs
+++ b/crates/store/src/journal.rs
@@ -27,10 +27,11 @@
 
 /// Log size in bytes above which the log is rotated. Each append rewrites the whole log.
 pub const MAX_LOG_BYTES: usize = 32 * 1024;
-/// Maximum number of writes to commit or resolve one append before its outcome is left unknown.
+/// Maximum number of attempts to commit one append, or to find out whether it was committed, before
+/// its outcome is left unknown.
 const MAX_ATTEMPTS: usize = 3;
-/// Maximum number of batch IDs in a snapshot. They resolve appends whose response was lost before
-/// a rotation.
+/// Maximum number of batch IDs in a snapshot. With them a writer finds out whether an append was
+/// committed whose response was lost before a rotation.
 const MAX_BATCH_IDS: usize = 256;
 
 /// A state that is the result of applying records in order.
@@ -101,21 +102,27 @@
 #[derive(Debug)]
 pub struct Journal<S: Store, R: Replay> {
     store: S,
+    /// Name of the journal, the prefix of its store keys.
     name: String,
+    /// Store key of the log.
     log_key: String,
     /// Unique ID of this writer.
     writer: u64,
     /// Number of the last batch of this writer.
     number: u64,
+    /// Whether a rotation archives the replaced log.
     is_archived: bool,
+    /// State after the replay of all records up to `sequence`.
     state: R,
     /// Sequence number of the last record in `state`.
     sequence: u64,
     /// Store version of `log`; 0 if the log does not exist yet.
     log_version: u64,
+    /// Decoded log as last read from the store or written to it.
     log: Log,
     /// IDs of the last batches before the first one of `log`, oldest first.
     recent_batches: Vec<BatchId>,
+    /// The append whose outcome is unknown, if any.
     pending: Option<PendingAppend<R::Record>>,
 }
 
