--- a/crates/entry/src/cells.rs
+++ b/crates/entry/src/cells.rs
@@ -74,12 +74,15 @@
     }
 }
 
+/// State that all owned cells of this entry share.
 #[derive(Debug)]
 struct Shared<S: Store> {
     store: S,
     entry: EntryId,
     incarnation: Incarnation,
+    /// Address at which other processes reach this entry.
     address: String,
+    /// See `Settings::outage_hold`.
     outage_hold: Duration,
     owned_cells: Mutex<BTreeMap<CellId, Arc<OwnedCell<S>>>>,
     /// Owner record of each cell as last read from or written to the store.
@@ -89,6 +92,7 @@
     placement: Mutex<takeover::Placement>,
     /// No heartbeat has succeeded for [`STORE_DOWN_AFTER`].
     store_down: AtomicBool,
+    /// Configuration document in effect.
     document: Mutex<Arc<Document>>,
     /// Number of takeovers that have started to write to the store.
     taking_over: AtomicUsize,
--- a/crates/entry/src/cells/owned.rs
+++ b/crates/entry/src/cells/owned.rs
@@ -26,11 +26,11 @@
 /// Time between two polls of the cell's state machine, which places tasks and checks leases. Also
 /// the time between two checks for pending events at a release.
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
-/// Shortest time between two commits.
+/// Shortest time between two commits of a cell's events to the store.
 const COMMIT_INTERVAL: Duration = Duration::from_millis(250);
-/// Sustained rate of commits, in commits per second.
+/// Sustained rate of a cell's commits to the store, in commits per second.
 const COMMIT_RATE: f64 = 2.0;
-/// Pause after a failed commit.
+/// Pause before a failed commit of events to the store is repeated.
 const COMMIT_RETRY: Duration = Duration::from_millis(500);
 /// Time between two checks of the owner record.
 const OWNER_CHECK_INTERVAL: Duration = Duration::from_secs(2);
@@ -40,6 +40,7 @@
 /// State of an owned cell that its tasks and callers share.
 #[derive(Debug)]
 pub(super) struct OwnedState {
+    /// State machine of the cell.
     pub cell: Cell,
     /// Signals of calls that wait for a commit, by ticket.
     pub tickets: HashMap<Ticket, Sender<()>>,
@@ -47,6 +48,7 @@
     pub last_ticket: Ticket,
     /// Signals of the reports that wait for orders, by agent.
     held_reports: HashMap<AgentId, Sender<()>>,
+    /// Configuration document that was last applied to the cell.
     document: Option<Arc<Document>>,
 }
 
@@ -55,6 +57,7 @@
 pub(super) struct OwnedCell<S: Store> {
     pub id: CellId,
     shared: Arc<Shared<S>>,
+    /// Epoch of this entry's ownership of the cell.
     epoch: Epoch,
     state: Mutex<OwnedState>,
     /// The ownership was lost or released.
--- a/crates/entry/src/context.rs
+++ b/crates/entry/src/context.rs
@@ -37,7 +37,9 @@
 /// is taken before the others.
 pub struct Context<S: Store> {
     pub settings: Settings,
+    /// Random number that identifies this process among those that run under the same entry ID.
     pub incarnation: Incarnation,
+    /// Listen address for callers and operators.
     pub http: SocketAddr,
     /// Address at which agents and other entries reach this one.
     pub internal: SocketAddr,
@@ -46,11 +48,17 @@
     pub cells: Cells<S>,
     /// `None` until a version was received from the store, an agent or another entry.
     config: RwLock<Option<ConfigState>>,
+    /// Repository of the configuration versions in the store.
     pub repository: RwLock<Option<Arc<ConfigRepository<S>>>>,
+    /// Upstreams that agents have announced.
     pub upstreams: Mutex<UpstreamTable>,
+    /// Limits the retries of requests.
     pub budget: Mutex<RetryBudget>,
+    /// Decides by idempotency key whether a request may run.
     pub keys: Mutex<KeyGate>,
+    /// Entries known from their heartbeat records.
     pub members: Mutex<Members>,
+    /// Announcements to relay to other entries.
     pub relays: Mutex<RelayQueue>,
     /// Highest configuration version that an agent has announced, and the agent's address.
     announced: Mutex<(ConfigVersion, String)>,
@@ -64,7 +72,8 @@
     pub early_fetch: (async_channel::Sender<()>, async_channel::Receiver<()>),
     request_counter: AtomicU64,
     stopping: AtomicBool,
-    /// Fires when responses of unknown length must end, some time after the start of a shutdown.
+    /// Fires when the grace period after the start of a shutdown is over and responses of unknown
+    /// length must end.
     pub drained: Shutdown,
 }
 
--- a/crates/entry/src/jobs.rs
+++ b/crates/entry/src/jobs.rs
@@ -187,7 +187,8 @@
     }
 }
 
-/// Performs a job operation here or at the cell's owner.
+/// Submits, lists, shows or cancels jobs of a cell, as `forward` requests: here if this entry owns the
+/// cell, else at its owner.
 async fn perform<S: Store>(
     context: &Arc<Context<S>>,
     forward: Forward,
--- a/crates/entry/src/key_lists.rs
+++ b/crates/entry/src/key_lists.rs
@@ -91,7 +91,7 @@
     *last = Some(runtime::now());
 }
 
-/// Fetches one key list from its witness, or from another entry with a copy.
+/// Fetches the whole key list of `request` from its witness, or from another entry with a copy.
 async fn fetch_one<S: Store>(context: &Arc<Context<S>>, request: KeyListRequest) {
     for address in sources(context, &request) {
         let Some(keys) = fetch_from(context, &address, request.clone()).await else { continue };
--- a/crates/entry/src/operator.rs
+++ b/crates/entry/src/operator.rs
@@ -46,7 +46,7 @@
     )
 }
 
-/// Answers `/v1/config`.
+/// Answers an operator's request to `/v1/config`.
 pub async fn config<S: Store>(
     context: &Arc<Context<S>>,
     request: Request<Incoming>,
--- a/crates/entry/src/proxy/call.rs
+++ b/crates/entry/src/proxy/call.rs
@@ -38,7 +38,9 @@
     pub headers: Vec<(Bytes, Bytes)>,
     /// Idempotency key, prefixed with the team so that teams cannot share keys.
     pub key: Option<Bytes>,
+    /// When this entry received the request.
     pub started: Time,
+    /// When the timeout of the request ends.
     pub deadline: Time,
     /// Version of the configuration that the request was checked against.
     pub version: ConfigVersion,
--- a/crates/entry/src/proxy/upload.rs
+++ b/crates/entry/src/proxy/upload.rs
@@ -24,7 +24,7 @@
 pub struct Upload {
     incoming: Incoming,
     replay_parts: Vec<Bytes>,
-    /// Bytes received so far.
+    /// Bytes of the body received so far.
     size: usize,
     replayable: bool,
     /// The whole body was received.
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -17,17 +17,19 @@
 
 use crate::context::Context;
 
-/// Time between two relay messages to an entry. Together with the interval and the expiry of
-/// announcements, all entries know of a leaving upstream within 4 s.
+/// Time between two relay messages to an entry. Added to the interval at which agents announce
+/// themselves and to the expiry of announcements, it keeps the time until all entries know of a
+/// leaving upstream within 4 s.
 const RELAY_INTERVAL: Duration = Duration::from_millis(500);
 /// Timeout of one relay message, after which its announcements are outdated.
 const RELAY_TIMEOUT: Duration = Duration::from_millis(900);
 /// Most announcements in one message. At about 105 bytes each, well below the frame limit.
 const MAX_PAGE_LEN: usize = 2_000;
 
-/// An announcement to relay.
+/// An agent's announcement that is to be relayed to other entries.
 #[derive(Debug)]
 struct PendingAnnounce {
+    /// When this entry received the announcement.
     received: Time,
     announce: Announce,
     /// Home entries of the agent, which receive the announcement directly.
--- a/crates/entry/tests/contract.rs
+++ b/crates/entry/tests/contract.rs
@@ -241,6 +241,7 @@
     response.headers().get("retry-after").is_some_and(|value| !value.is_empty())
 }
 
+/// Checks the contract for callers with a simulated agent.
 async fn callers_of_simulated() {
     let store = store().await;
     let entry = Entry::configured("entry-1", &store).await;
@@ -250,6 +251,7 @@
     entry.stop().await;
 }
 
+/// Checks the contract for callers with a real agent, and that a repeated idempotency key runs once.
 async fn callers_of_agent() {
     let store = store().await;
     let entry = Entry::configured("entry-2", &store).await;
--- a/crates/entry/tests/requests.rs
+++ b/crates/entry/tests/requests.rs
@@ -92,7 +92,8 @@
     });
 }
 
-/// Guards against unlimited retries: at most 1.1 dispatches per request (section 1.7).
+/// Guards against unlimited retries: at most 1.1 dispatches per request on average
+/// (section 1.7).
 #[test]
 fn refused_requests_are_retried_within_the_budget() {
     run(async {
--- a/crates/entry/tests/support/agent.rs
+++ b/crates/entry/tests/support/agent.rs
@@ -18,7 +18,7 @@
 use peridotfold_wire::server::{Handler, MessageServer, Stream};
 use peridotfold_wire::shutdown::{self, Shutdown, Trigger};
 
-/// Time between two announcements.
+/// Time between two announcements of a simulated agent to an entry.
 const PERIOD: Duration = Duration::from_millis(200);
 
 /// The messages that a simulated agent has received.
@@ -32,6 +32,7 @@
 
 /// A running simulated agent. Stops announcing itself and accepting connections when dropped.
 pub struct Agent {
+    /// Messages received so far.
     pub log: Arc<Mutex<Log>>,
     pub address: SocketAddr,
     pub incarnation: u64,
@@ -40,6 +41,7 @@
 
 /// Handles the messages of entries.
 struct AgentHandler {
+    /// Messages received so far, shared with the test.
     log: Arc<Mutex<Log>>,
     /// Refuses every request.
     refusing: bool,
--- a/crates/entry/tests/support/history.rs
+++ b/crates/entry/tests/support/history.rs
@@ -51,7 +51,8 @@
 /// Returns the first violation and the index of its event.
 pub fn check(history: &[HistoryEvent]) -> Result<(), (Violation, usize)> {
     let mut keys: HashMap<&str, Key> = HashMap::new();
-    // Key of each open request, and whether the key had run before the request was sent.
+    // Idempotency key of each open request, and whether a request with this key had been executed
+    // before the open one was sent.
     let mut requests: HashMap<u64, (&str, bool)> = HashMap::new();
     for (index, event) in history.iter().enumerate() {
         let violation = match event {
