--- a/crates/entry/src/cells/jobs.rs
+++ b/crates/entry/src/cells/jobs.rs
@@ -37,8 +37,8 @@
     team: Option<TeamId>,
 }
 
-/// Submits, lists, shows or cancels jobs of an owned cell. `store_down` tells that this entry has lost
-/// contact with the store.
+/// Submits, lists, shows or cancels jobs of an owned cell. `store_down` tells that this entry has
+/// lost contact with the store.
 pub(super) async fn perform<S: Store>(
     owned: &OwnedCell<S>,
     forward: &Forward,
@@ -62,8 +62,8 @@
     }
 }
 
-/// Submits a job and waits until it is committed to the store. `store_down` tells that this entry has
-/// lost contact with the store.
+/// Submits a job and waits until it is committed to the store. `store_down` tells that this entry
+/// has lost contact with the store.
 async fn submit<S: Store>(
     owned: &OwnedCell<S>,
     forward: &Forward,
--- a/crates/entry/src/cells/takeover.rs
+++ b/crates/entry/src/cells/takeover.rs
@@ -32,8 +32,8 @@
 const HAND_OVER_PAUSE: Duration = Duration::from_secs(2);
 /// Time after a handover for which the former owner leaves the cell to better placed entries.
 const HAND_OVER_LIMIT: Duration = Duration::from_secs(15);
-/// Delay of a takeover per rank. The rank of an entry is the number of entries that are better placed
-/// for the cell; each of them gets this time to take over first.
+/// Delay of a takeover per rank. The rank of an entry is the number of entries that are better
+/// placed for the cell; each of them gets this time to take over first.
 const RANK_DELAY: Duration = Duration::from_secs(3);
 /// Most replays of the journal in one takeover. A replay is repeated when the former owner has
 /// written meanwhile.
--- a/crates/entry/src/config.rs
+++ b/crates/entry/src/config.rs
@@ -54,8 +54,9 @@
     context.install("store", &repository.update_since(version));
 }
 
-/// Polls, every [`RETRY_PAUSE`], for an agent that has announced a higher configuration version, and
-/// requests the configuration from this agent and from the other entries. Only this entry may have lost contact with the store, and it may know no other entries.
+/// Checks every [`RETRY_PAUSE`] whether an agent has announced a higher configuration version, and
+/// requests the configuration from this agent and from the other entries. Only this entry may have
+/// lost contact with the store, and it may know no other entries.
 async fn follow_agents<S: Store>(context: &Arc<Context<S>>) {
     loop {
         runtime::sleep(RETRY_PAUSE).await;
--- a/crates/entry/src/jobs.rs
+++ b/crates/entry/src/jobs.rs
@@ -187,8 +187,8 @@
     }
 }
 
-/// Submits, lists, shows or cancels jobs of a cell, as `forward` requests: here if this entry owns the
-/// cell, else at its owner.
+/// Submits, lists, shows or cancels jobs of a cell, as `forward` requests: here if this entry owns
+/// the cell, else at its owner.
 async fn perform<S: Store>(
     context: &Arc<Context<S>>,
     forward: Forward,
--- a/crates/entry/tests/contract.rs
+++ b/crates/entry/tests/contract.rs
@@ -251,7 +251,8 @@
     entry.stop().await;
 }
 
-/// Checks the contract for callers with a real agent, and that a repeated idempotency key runs once.
+/// Checks the contract for callers with a real agent, and that a repeated idempotency key
+/// runs once.
 async fn callers_of_agent() {
     let store = store().await;
     let entry = Entry::configured("entry-2", &store).await;
