--- a/crates/entry/src/cells.rs
+++ b/crates/entry/src/cells.rs
@@ -36,7 +36,7 @@
 use self::record::CachedRecord;
 use crate::settings::Settings;
 
-/// Time between two scans of the configured cells.
+/// Time between two scans of the configured cells for cells to take over or hand over.
 const SCAN_INTERVAL: Duration = Duration::from_millis(500);
 /// Time since the last successful heartbeat after which submissions and cancellations are refused
 /// at once. Two heartbeat intervals.
@@ -57,6 +57,7 @@
 /// A worker and its cell, as shown to operators.
 #[derive(Debug, Clone, Serialize)]
 pub struct WorkerView {
+    /// Cell of the worker.
     pub cell: CellId,
     #[serde(flatten)]
     pub worker: CellWorkerView,
@@ -184,7 +185,7 @@
         owned.report(report).await.ok_or_else(|| self.not_owner(&cell))
     }
 
-    /// Performs the job operation of a caller.
+    /// Submits, lists, shows or cancels jobs of a cell that this entry owns, as `forward` requests.
     ///
     /// # Errors
     ///
--- a/crates/entry/src/cells/jobs.rs
+++ b/crates/entry/src/cells/jobs.rs
@@ -16,7 +16,8 @@
 
 use crate::cells::owned::OwnedCell;
 
-/// Longest wait for a commit. Below the 5 s that the forwarding entry waits.
+/// Longest wait until a submission or cancellation is committed to the store. Below the 5 s
+/// that the forwarding entry waits.
 const COMMIT_WAIT: Duration = Duration::from_secs(4);
 
 /// Body of a job submission.
@@ -147,7 +148,8 @@
     }
 }
 
-/// Waits for a commit. Tells whether it arrived within [`COMMIT_WAIT`].
+/// Waits until `durable` signals a commit to the store. Tells whether the signal arrived within
+/// [`COMMIT_WAIT`].
 async fn wait_committed(durable: Receiver<()>) -> bool {
     let committed = async { durable.recv().await.is_ok() };
     let timed_out = async {
--- a/crates/entry/src/cells/owned.rs
+++ b/crates/entry/src/cells/owned.rs
@@ -32,7 +32,7 @@
 const COMMIT_RATE: f64 = 2.0;
 /// Pause before a failed commit of events to the store is repeated.
 const COMMIT_RETRY: Duration = Duration::from_millis(500);
-/// Time between two checks of the owner record.
+/// Time between two checks whether the owner record in the store still names this entry.
 const OWNER_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 /// Longest wait for the last commits of a cell that is being released.
 const RELEASE_LIMIT: Duration = Duration::from_secs(5);
--- a/crates/entry/src/cells/takeover.rs
+++ b/crates/entry/src/cells/takeover.rs
@@ -23,7 +23,8 @@
 /// Time between two reads of an owner record whose owner is alive. With 64 cells and 36 entries,
 /// these are 290 reads/s of the store's 2,000.
 const RECORD_REFRESH: Duration = Duration::from_secs(8);
-/// The same interval for the preferred owner, since the cell may be handed to it at any time.
+/// Time between two reads of an owner record by the preferred owner of the cell. Shorter, since
+/// the cell may be handed to this entry at any time.
 const PREFERRED_REFRESH: Duration = Duration::from_secs(1);
 /// Time for which a better placed entry must be alive before a cell is handed to it. Longer than
 /// the 6 s after which an entry without heartbeats is dead.
--- a/crates/entry/src/heartbeats.rs
+++ b/crates/entry/src/heartbeats.rs
@@ -333,10 +333,12 @@
     }
 }
 
+/// Creates a holder from an agent and its incarnation.
 fn holder((agent, incarnation): &(String, u64)) -> Holder {
     Holder { agent: agent.clone(), incarnation: *incarnation }
 }
 
+/// Encodes a value as JSON for the store.
 fn encode(value: &impl serde::Serialize) -> Result<Bytes, StoreError> {
     serde_json::to_vec(value)
         .map(Bytes::from)
--- a/crates/entry/src/http.rs
+++ b/crates/entry/src/http.rs
@@ -16,6 +16,7 @@
 /// Routes the HTTP requests of callers and operators to their handlers.
 pub struct HttpHandler<S: Store> {
     pub context: Arc<Context<S>>,
+    /// Renders the metrics of this process.
     pub metrics: PrometheusHandle,
 }
 
--- a/crates/entry/src/internal.rs
+++ b/crates/entry/src/internal.rs
@@ -19,7 +19,7 @@
 use crate::cells::CellError;
 use crate::context::Context;
 
-/// Handles each message by its kind.
+/// Handles the messages of agents and other entries, each by its kind.
 pub struct InternalHandler<S: Store> {
     pub context: Arc<Context<S>>,
 }
--- a/crates/entry/src/jobs.rs
+++ b/crates/entry/src/jobs.rs
@@ -23,9 +23,9 @@
 use crate::operator::{parameter, read_body};
 use crate::reply::{self, ErrorBody};
 
-/// HTTP path of the job operations.
+/// HTTP path of the operations on jobs: submit, list, show and cancel.
 pub const PATH: &str = "/v1/jobs";
-/// Timeout of a job operation that is forwarded to another entry.
+/// Timeout of an operation on jobs that is forwarded to another entry.
 const FORWARD_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The fields of a job submission that select the cell.
--- a/crates/entry/src/key_lists.rs
+++ b/crates/entry/src/key_lists.rs
@@ -19,8 +19,8 @@
 /// Shortest time between two fetches of missing key lists. Bounds how long a witness must stay
 /// alive after it has adopted a move.
 const RETRY_MIN: Duration = Duration::from_millis(100);
-/// Longest time between two fetches. A list that no entry holds stays missing for the retention
-/// period of keys.
+/// Longest time between two fetches of missing key lists. A list that no entry holds stays
+/// missing for the retention period of keys.
 const RETRY_MAX: Duration = Duration::from_secs(2);
 /// Timeout of the request for one page of a key list.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(500);
--- a/crates/entry/src/proxy/attempt.rs
+++ b/crates/entry/src/proxy/attempt.rs
@@ -25,7 +25,7 @@
 /// Longest wait for the agent's proof that a request was not started, before its outcome counts as
 /// unknown. A few round trips between data centres.
 const PROOF_WAIT: Duration = Duration::from_millis(25);
-/// Timeout of a cancellation message.
+/// Timeout of the message that asks an agent to cancel a request.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(1);
 /// Value of the `Retry-After` header when no agent gave one.
 pub const RETRY_AFTER: Duration = Duration::from_secs(1);
--- a/crates/entry/src/proxy/unkeyed.rs
+++ b/crates/entry/src/proxy/unkeyed.rs
@@ -58,7 +58,7 @@
     }
 }
 
-/// Returns the outcome of a request without a live upstream.
+/// Returns the outcome of a request for which no live upstream is known.
 fn no_upstream() -> Outcome {
     let reason = RefuseReason::NoUpstream;
     Outcome::NotRun { reason, retry_after: RETRY_AFTER, reached: false }
--- a/crates/entry/tests/support/agent.rs
+++ b/crates/entry/tests/support/agent.rs
@@ -24,7 +24,9 @@
 /// The messages that a simulated agent has received.
 #[derive(Default)]
 pub struct Log {
+    /// Heads of the received requests.
     pub heads: Vec<RequestHead>,
+    /// Number of received cancellations.
     pub cancels: u32,
     /// Requests whose cancellation was answered as `NotStarted`.
     refused: BTreeSet<RequestId>,
@@ -107,6 +109,7 @@
     }
 }
 
+/// Announces the agent to `entry` every [`PERIOD`] until `stop` fires.
 async fn announcing(mut announce: Announce, entry: String, stop: Shutdown) {
     let peers = Peers::default();
     loop {
--- a/crates/entry/tests/support/common.rs
+++ b/crates/entry/tests/support/common.rs
@@ -58,7 +58,9 @@
 
 /// A running entry.
 pub struct Entry {
+    /// Address for callers and operators.
     pub http: SocketAddr,
+    /// Address for agents and other entries.
     pub internal: SocketAddr,
     client: HttpClient,
     stop: Trigger,
--- a/crates/entry/tests/support/history.rs
+++ b/crates/entry/tests/support/history.rs
@@ -8,6 +8,7 @@
 pub enum End {
     /// Answered with this body.
     Answered(String),
+    /// Answered as certainly not run.
     NotRun,
     /// The outcome is unknown, or there was no response.
     Unknown,
@@ -27,18 +28,21 @@
 /// A violation of at-most-once execution.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Violation {
-    /// A request got an answer that its key did not produce.
+    /// A request got another answer than that of the execution with its key.
     WrongAnswer,
+    /// Requests with the same key were executed more than once.
     ExecutedTwice,
     /// Executed although all requests with the key had ended as not run.
     ExecutedAfterNotRun,
-    /// Ended as not run, although the key had run before the request was sent.
+    /// Ended as not run, although a request with the key had been executed before this one was
+    /// sent.
     NotRunAfterExecution,
 }
 
-/// State of one key during the check.
+/// State of one idempotency key during the check.
 #[derive(Default)]
 struct Key {
+    /// Answer of the execution, if there was one.
     executed: Option<String>,
     /// Number of requests with the key that have not ended as not run.
     maybe_run: u32,
