--- a/crates/entry/src/cells/jobs.rs
+++ b/crates/entry/src/cells/jobs.rs
@@ -33,7 +33,7 @@
     #[serde(default)]
     #[allow(dead_code)] // Read by the entry that chose the cell.
     cell: Option<String>,
-    /// Read only from operators; a team submits its own jobs.
+    /// Team that the job is for. Read only from operators; a team submits its own jobs.
     #[serde(default)]
     team: Option<TeamId>,
 }
--- a/crates/entry/src/cells/owned.rs
+++ b/crates/entry/src/cells/owned.rs
@@ -42,7 +42,8 @@
 pub(super) struct OwnedState {
     /// State machine of the cell.
     pub cell: Cell,
-    /// Signals of calls that wait for a commit, by ticket.
+    /// Signals of calls that wait until their change of the cell is committed. A ticket numbers a
+    /// change.
     pub tickets: HashMap<Ticket, Sender<()>>,
     /// The most recently issued ticket.
     pub last_ticket: Ticket,
@@ -62,7 +63,7 @@
     state: Mutex<OwnedState>,
     /// The ownership was lost or released.
     ended: AtomicBool,
-    /// Wakes the task that commits.
+    /// Wakes the task that commits the cell's events to the store.
     commit_signal: Sender<()>,
 }
 
@@ -119,7 +120,7 @@
         views.into_iter().map(|worker| WorkerView { cell: self.id.clone(), worker }).collect()
     }
 
-    /// Applies the limits of a configuration, if it is a new one.
+    /// Applies the limits of a configuration document to the cell, if the document is a new one.
     pub fn set_document(&self, document: &Arc<Document>) {
         let mut state = self.state.lock();
         if state.document.as_ref().is_some_and(|known| Arc::ptr_eq(known, document)) {
--- a/crates/entry/src/cells/takeover.rs
+++ b/crates/entry/src/cells/takeover.rs
@@ -24,10 +24,10 @@
 /// these are 290 reads/s of the store's 2,000.
 const RECORD_REFRESH: Duration = Duration::from_secs(8);
 /// Time between two reads of an owner record by the preferred owner of the cell. Shorter, since
-/// the cell may be handed to this entry at any time.
+/// the cell may be handed to the preferred owner at any time.
 const PREFERRED_REFRESH: Duration = Duration::from_secs(1);
-/// Time for which a better placed entry must be alive before a cell is handed to it. Longer than
-/// the 6 s after which an entry without heartbeats is dead.
+/// Time for which an entry that is better placed to own a cell must be alive before the cell is
+/// handed to it. Longer than the 6 s after which an entry without heartbeats is dead.
 const HAND_OVER_DELAY: Duration = Duration::from_secs(10);
 /// Pause between the handovers of two cells, so that most cells keep working.
 const HAND_OVER_PAUSE: Duration = Duration::from_secs(2);
--- a/crates/entry/src/heartbeats.rs
+++ b/crates/entry/src/heartbeats.rs
@@ -25,7 +25,7 @@
 const ENTRIES: &str = "entries/";
 /// Prefix of the store keys of key maps.
 const KEY_MAPS: &str = "keymap/";
-/// Attempts to write the last heartbeat at shutdown.
+/// Number of attempts to write the last heartbeat at shutdown.
 const LAST_ATTEMPTS: usize = 3;
 /// Time between two checks of whether another entry has fetched this entry's key list. The wait
 /// ends after `keys::LIST_COPY_LIMIT`.
@@ -47,6 +47,7 @@
     predecessor: Option<Incarnation>,
     /// Another process has written its record under this entry's ID.
     replaced: bool,
+    /// Plans the moves of key maps.
     planner: Planner,
 }
 
--- a/crates/entry/src/proxy/attempt.rs
+++ b/crates/entry/src/proxy/attempt.rs
@@ -46,8 +46,10 @@
 /// The head of an answer, with the streams of its body and of the request body.
 #[derive(Debug)]
 pub struct Answer {
+    /// HTTP status code.
     pub status: u16,
     pub headers: Vec<(Bytes, Bytes)>,
+    /// Receives the response body.
     pub receiver: FrameReceiver,
     /// Sends the rest of the request body, if the request has one.
     pub upload: Option<Task<()>>,
@@ -55,7 +57,9 @@
 
 /// Reason to stop waiting for an answer.
 enum StopReason {
+    /// The deadline of the request passed.
     Deadline,
+    /// The caller closed the connection.
     Gone,
 }
 
@@ -296,6 +300,8 @@
     .await
 }
 
+/// Returns the outcome of a request that was certainly not run. `reached` tells whether the agent
+/// may have received it.
 fn not_run(reason: RefuseReason, reached: bool) -> Outcome {
     Outcome::NotRun { reason, retry_after: RETRY_AFTER, reached }
 }
--- a/crates/entry/src/proxy/call.rs
+++ b/crates/entry/src/proxy/call.rs
@@ -44,6 +44,7 @@
     pub deadline: Time,
     /// Version of the configuration that the request was checked against.
     pub version: ConfigVersion,
+    /// Trace context that is forwarded with the request.
     pub trace: TraceContext,
 }
 
--- a/crates/entry/src/proxy/keyed.rs
+++ b/crates/entry/src/proxy/keyed.rs
@@ -138,7 +138,7 @@
     upstreams.holder(runtime::now(), &holder.agent, holder.incarnation, &call.service)
 }
 
-/// Probes the witnesses concurrently.
+/// Asks the witnesses concurrently whether they have dispatched a key.
 async fn probe<S: Store>(
     context: &Arc<Context<S>>,
     service: &str,
@@ -164,7 +164,8 @@
     results
 }
 
-/// Probes one witness. Returns `None` when the witness is unreachable.
+/// Asks one witness whether it has dispatched a key. Returns `None` when the witness is
+/// unreachable.
 async fn ask<S: Store>(
     context: &Arc<Context<S>>,
     witness: &Witness,
--- a/crates/entry/src/proxy/upload.rs
+++ b/crates/entry/src/proxy/upload.rs
@@ -22,10 +22,13 @@
 /// A request body. Its received parts are kept for a retry, up to [`MAX_REPLAY_BYTES`].
 #[derive(Debug)]
 pub struct Upload {
+    /// Body as received from the caller.
     incoming: Incoming,
+    /// Parts received so far, to be sent again by a retry. Empty once the body exceeds the limit.
     replay_parts: Vec<Bytes>,
     /// Bytes of the body received so far.
     size: usize,
+    /// A retry can send the body from its start.
     replayable: bool,
     /// The whole body was received.
     ended: bool,
@@ -68,6 +71,7 @@
         result
     }
 
+    /// Sends the kept parts, then the rest of the body as the caller sends it.
     async fn send_frames(&mut self, sender: &mut FrameSender) -> Result<(), WireError> {
         for part in self.replay_parts.clone() {
             send_part(sender, part).await?;
