--- a/crates/entry/src/cells/jobs.rs
+++ b/crates/entry/src/cells/jobs.rs
@@ -16,7 +16,8 @@
 
 use crate::cells::owned::OwnedCell;
 
-/// Longest wait for a commit. Below the 5 s that the forwarding entry waits.
+/// Longest wait until a submission or cancellation is committed to the store. Below the 5 s
+/// that the forwarding entry waits.
 const COMMIT_WAIT: Duration = Duration::from_secs(4);
 
 /// Body of a job submission.
@@ -32,12 +33,13 @@
     #[serde(default)]
     #[allow(dead_code)] // Read by the entry that chose the cell.
     cell: Option<String>,
-    /// Read only from operators; a team submits its own jobs.
+    /// Team that the job is for. Read only from operators; a team submits its own jobs.
     #[serde(default)]
     team: Option<TeamId>,
 }
 
-/// Performs an operation on the jobs of an owned cell.
+/// Submits, lists, shows or cancels jobs of an owned cell. `store_down` tells that this entry has
+/// lost contact with the store.
 pub(super) async fn perform<S: Store>(
     owned: &OwnedCell<S>,
     forward: &Forward,
@@ -61,7 +63,8 @@
     }
 }
 
-/// Submits a job and waits for the commit.
+/// Submits a job and waits until it is committed to the store. `store_down` tells that this entry
+/// has lost contact with the store.
 async fn submit<S: Store>(
     owned: &OwnedCell<S>,
     forward: &Forward,
@@ -145,7 +148,8 @@
     }
 }
 
-/// Waits for a commit. Tells whether it arrived within [`COMMIT_WAIT`].
+/// Waits until `durable` signals a commit to the store. Tells whether the signal arrived within
+/// [`COMMIT_WAIT`].
 async fn wait_committed(durable: Receiver<()>) -> bool {
     let committed = async { durable.recv().await.is_ok() };
     let timed_out = async {
--- a/crates/entry/src/cells/owned.rs
+++ b/crates/entry/src/cells/owned.rs
@@ -26,13 +26,13 @@
 /// Time between two polls of the cell's state machine, which places tasks and checks leases. Also
 /// the time between two checks for pending events at a release.
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
-/// Shortest time between two commits.
+/// Shortest time between two commits of a cell's events to the store.
 const COMMIT_INTERVAL: Duration = Duration::from_millis(250);
-/// Sustained rate of commits, in commits per second.
+/// Sustained rate of a cell's commits to the store, in commits per second.
 const COMMIT_RATE: f64 = 2.0;
-/// Pause after a failed commit.
+/// Pause before a failed commit of events to the store is repeated.
 const COMMIT_RETRY: Duration = Duration::from_millis(500);
-/// Time between two checks of the owner record.
+/// Time between two checks whether the owner record in the store still names this entry.
 const OWNER_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 /// Longest wait for the last commits of a cell that is being released.
 const RELEASE_LIMIT: Duration = Duration::from_secs(5);
@@ -40,13 +40,16 @@
 /// State of an owned cell that its tasks and callers share.
 #[derive(Debug)]
 pub(super) struct OwnedState {
+    /// State machine of the cell.
     pub cell: Cell,
-    /// Signals of calls that wait for a commit, by ticket.
+    /// Signals of calls that wait until their change of the cell is committed. A ticket numbers a
+    /// change.
     pub tickets: HashMap<Ticket, Sender<()>>,
     /// The most recently issued ticket.
     pub last_ticket: Ticket,
     /// Signals of the reports that wait for orders, by agent.
     held_reports: HashMap<AgentId, Sender<()>>,
+    /// Configuration document that was last applied to the cell.
     document: Option<Arc<Document>>,
 }
 
@@ -55,11 +58,12 @@
 pub(super) struct OwnedCell<S: Store> {
     pub id: CellId,
     shared: Arc<Shared<S>>,
+    /// Epoch of this entry's ownership of the cell.
     epoch: Epoch,
     state: Mutex<OwnedState>,
     /// The ownership was lost or released.
     ended: AtomicBool,
-    /// Wakes the task that commits.
+    /// Wakes the task that commits the cell's events to the store.
     commit_signal: Sender<()>,
 }
 
@@ -116,7 +120,7 @@
         views.into_iter().map(|worker| WorkerView { cell: self.id.clone(), worker }).collect()
     }
 
-    /// Applies the limits of a configuration, if it is a new one.
+    /// Applies the limits of a configuration document to the cell, if the document is a new one.
     pub fn set_document(&self, document: &Arc<Document>) {
         let mut state = self.state.lock();
         if state.document.as_ref().is_some_and(|known| Arc::ptr_eq(known, document)) {
--- a/crates/entry/src/cells/takeover.rs
+++ b/crates/entry/src/cells/takeover.rs
@@ -23,16 +23,18 @@
 /// Time between two reads of an owner record whose owner is alive. With 64 cells and 36 entries,
 /// these are 290 reads/s of the store's 2,000.
 const RECORD_REFRESH: Duration = Duration::from_secs(8);
-/// The same interval for the preferred owner, since the cell may be handed to it at any time.
+/// Time between two reads of an owner record by the preferred owner of the cell. Shorter, since
+/// the cell may be handed to the preferred owner at any time.
 const PREFERRED_REFRESH: Duration = Duration::from_secs(1);
-/// Time for which a better placed entry must be alive before a cell is handed to it. Longer than
-/// the 6 s after which an entry without heartbeats is dead.
+/// Time for which an entry that is better placed to own a cell must be alive before the cell is
+/// handed to it. Longer than the 6 s after which an entry without heartbeats is dead.
 const HAND_OVER_DELAY: Duration = Duration::from_secs(10);
 /// Pause between the handovers of two cells, so that most cells keep working.
 const HAND_OVER_PAUSE: Duration = Duration::from_secs(2);
 /// Time after a handover for which the former owner leaves the cell to better placed entries.
 const HAND_OVER_LIMIT: Duration = Duration::from_secs(15);
-/// Delay of a takeover per better placed entry, which gets this time to take over first.
+/// Delay of a takeover per rank. The rank of an entry is the number of entries that are better
+/// placed for the cell; each of them gets this time to take over first.
 const RANK_DELAY: Duration = Duration::from_secs(3);
 /// Most replays of the journal in one takeover. A replay is repeated when the former owner has
 /// written meanwhile.
@@ -166,7 +168,7 @@
     alive.iter().filter(|view| Some(weight(view)) > own).count() as u32
 }
 
-/// Reads the record of a cell and takes the cell over if it has no live owner.
+/// Reads the owner record of a cell and takes the cell over if it has no live owner.
 async fn check_cell<S: Store>(
     shared: &Arc<Shared<S>>,
     cell: &CellId,
--- a/crates/entry/src/key_lists.rs
+++ b/crates/entry/src/key_lists.rs
@@ -19,8 +19,8 @@
 /// Shortest time between two fetches of missing key lists. Bounds how long a witness must stay
 /// alive after it has adopted a move.
 const RETRY_MIN: Duration = Duration::from_millis(100);
-/// Longest time between two fetches. A list that no entry holds stays missing for the retention
-/// period of keys.
+/// Longest time between two fetches of missing key lists. A list that no entry holds stays
+/// missing for the retention period of keys.
 const RETRY_MAX: Duration = Duration::from_secs(2);
 /// Timeout of the request for one page of a key list.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(500);
@@ -91,7 +91,7 @@
     *last = Some(runtime::now());
 }
 
-/// Fetches one key list from its witness, or from another entry with a copy.
+/// Fetches the whole key list of `request` from its witness, or from another entry with a copy.
 async fn fetch_one<S: Store>(context: &Arc<Context<S>>, request: KeyListRequest) {
     for address in sources(context, &request) {
         let Some(keys) = fetch_from(context, &address, request.clone()).await else { continue };
--- a/crates/entry/tests/support/agent.rs
+++ b/crates/entry/tests/support/agent.rs
@@ -18,13 +18,15 @@
 use peridotfold_wire::server::{Handler, MessageServer, Stream};
 use peridotfold_wire::shutdown::{self, Shutdown, Trigger};
 
-/// Time between two announcements.
+/// Time between two announcements of a simulated agent to an entry.
 const PERIOD: Duration = Duration::from_millis(200);
 
 /// The messages that a simulated agent has received.
 #[derive(Default)]
 pub struct Log {
+    /// Heads of the received requests.
     pub heads: Vec<RequestHead>,
+    /// Number of received cancellations.
     pub cancels: u32,
     /// Requests whose cancellation was answered as `NotStarted`.
     refused: BTreeSet<RequestId>,
@@ -32,6 +34,7 @@
 
 /// A running simulated agent. Stops announcing itself and accepting connections when dropped.
 pub struct Agent {
+    /// Messages received so far.
     pub log: Arc<Mutex<Log>>,
     pub address: SocketAddr,
     pub incarnation: u64,
@@ -40,6 +43,7 @@
 
 /// Handles the messages of entries.
 struct AgentHandler {
+    /// Messages received so far, shared with the test.
     log: Arc<Mutex<Log>>,
     /// Refuses every request.
     refusing: bool,
@@ -105,6 +109,7 @@
     }
 }
 
+/// Announces the agent to `entry` every [`PERIOD`] until `stop` fires.
 async fn announcing(mut announce: Announce, entry: String, stop: Shutdown) {
     let peers = Peers::default();
     loop {
